--- /dev/null
+++ b/src/test/java/sprucelanding/platform/RecordedSocketTest.java
@@ -0,0 +1,266 @@
+package sprucelanding.platform;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import sprucelanding.loop.Loop;
+import sprucelanding.wire.WireRecording;
+
+/**
+ * Compares what a governor sends over sockets with a recording: its answers to handshakes and
+ * messages, its requests to discovery and to endpoints.
+ *
+ * <p>Only what does not depend on the real clock is recorded: of the updates, the first that a
+ * proxy is sent. Run with {@code -Drecorded.write=true} to write the recordings; they are never
+ * edited later: a difference is a defect of the step.
+ */
+class RecordedSocketTest {
+    private static final int WAIT_MS = 15_000;
+    private static final String PING = "{\"msg\":\"ping\"}\n";
+    private static final String UPDATE = "{\"msg\":\"update\"";
+    private static final String USAGE =
+            "{\"msg\":\"usage\",\"sidecar\":%s,\"kind\":%s,\"n\":%s,\"bad\":%s,\"window\":%s}\n";
+    private static final String JOINED =
+            "{\"msg\":\"joined\",\"sidecar\":%s,\"az\":%s,\"share\":%s,\"standing\":%s}\n";
+    private static final String HEARD =
+            "{\"msg\":\"heard\",\"az\":%s,\"host\":%s,\"n\":%s,\"bad\":%s,\"avg\":%s,\"window\":%s%s}\n";
+
+    @TempDir Path folder;
+
+    private final StringBuilder transcript = new StringBuilder();
+
+    private void sent(String text) {
+        for (String line : text.split("\n", -1)) {
+            if (!line.isEmpty()) {
+                String start = line.length() > 200 ? line.substring(0, 200) + "..." : line;
+                transcript.append("> ").append(start.replace("\r", "\\r")).append('\n');
+            }
+        }
+    }
+
+    private void received(String line) {
+        transcript.append(line == null ? "closed" : "< " + line).append('\n');
+    }
+
+    /** Everything up to the end of the connection. */
+    private void receivesAll(Place.Peer peer) throws IOException {
+        for (String line = peer.line(); line != null; line = peer.line()) {
+            received(line);
+        }
+        received(null);
+    }
+
+    @Test
+    void handshakes() throws IOException {
+        try (Place place = new Place(folder)) {
+            for (String says :
+                    List.of(
+                            "noise\n",
+                            "\n",
+                            "[1]\n",
+                            "7\n",
+                            "{}\n",
+                            "{\"msg\":7}\n",
+                            "{\"msg\":\"ping\"\n",
+                            "GET / HTTP/1.1\r\nHost: l\r\n\r\n",
+                            "{\"msg\":\"update\",\"eject\":[\"s-1\"]}\n",
+                            "{\"msg\":\"applied\",\"sidecar\":3,\"version\":1,\"lag_ms\":3}\n",
+                            USAGE.formatted("3", "\"read\"", "19", "0", "1000.0"),
+                            HEARD.formatted("\"a\"", "\"s-1\"", "2", "0", "4", "1000", ""),
+                            JOINED.formatted("60", "\"a\"", "21.5", "true"),
+                            JOINED.formatted("-1", "\"a\"", "21.5", "true"),
+                            JOINED.formatted("1.5", "\"a\"", "21.5", "true"),
+                            JOINED.formatted("\"1\"", "\"a\"", "21.5", "true"),
+                            JOINED.formatted("1", "\"nowhere\"", "21.5", "true"),
+                            JOINED.formatted("1", "null", "21.5", "true"),
+                            JOINED.formatted("1", "\"a\"", "\"much\"", "true"),
+                            JOINED.formatted("1", "\"a\"", "-1", "true"),
+                            JOINED.formatted("1", "\"a\"", "1e300", "true"),
+                            JOINED.formatted("1", "\"a\"", "21.5", "1"),
+                            "{\"msg\":\"joined\",\"sidecar\":1,\"az\":\"a\",\"share\":21.5}\n",
+                            "{\"msg\":\"collector\",\"az\":\"nowhere\"}\n",
+                            "{\"msg\":\"collector\"}\n",
+                            "{\"msg\":\"joined\",\"sidecar\":1,",
+                            "[".repeat(4000) + "\n",
+                            "x".repeat(4097),
+                            PING + "noise\n",
+                            PING + PING + "{\"msg\":\"collector\"}\n")) {
+                transcript.append("==\n");
+                sent(says);
+                receivesAll(place.dial().say(says));
+            }
+        }
+        WireRecording.check("platform/handshakes.out", transcript.toString());
+    }
+
+    /** What a proxy is sent when it joins, and the answers that show that its stream goes on. */
+    @Test
+    void aProxysStream() throws IOException {
+        try (Place place = new Place(folder)) {
+            Place.Peer peer = place.dial();
+            says(peer, PING + JOINED.formatted("5", "\"b\"", "21.5", "true"), 2);
+            for (String message :
+                    List.of(
+                            USAGE.formatted("5", "\"read\"", "19", "0", "1000.0"),
+                            USAGE.formatted("5", "\"read\"", "-4", "0", "1000.0"),
+                            USAGE.formatted("5", "\"none\"", "4", "0", "1000.0"),
+                            USAGE.formatted("6", "\"read\"", "4", "0", "1000.0"),
+                            USAGE.formatted("5", "\"read\"", "4", "0", "0"),
+                            "{\"msg\":\"applied\",\"sidecar\":5,\"version\":1,\"lag_ms\":3}\n",
+                            "{\"msg\":\"applied\",\"sidecar\":5,\"version\":\"9\",\"lag_ms\":3}\n",
+                            "{\"msg\":\"applied\",\"sidecar\":5,\"version\":59999,\"lag_ms\":3}\n",
+                            JOINED.formatted("5", "\"b\"", "21.5", "true"),
+                            "{\"msg\":\"collector\",\"az\":\"b\"}\n",
+                            "{\"msg\":\"none\"}\n",
+                            "{\"msg\":7}\n",
+                            "{}\n")) {
+                saysAndPings(peer, message);
+            }
+            sent("{{{\n");
+            endsAfter(peer.say("{{{\n"));
+        }
+        WireRecording.check("platform/proxy-stream.out", transcript.toString());
+    }
+
+    @Test
+    void aCollectorsStream() throws IOException {
+        try (Place place = new Place(folder)) {
+            Place.Peer peer = place.dial();
+            saysAndPings(peer, "{\"msg\":\"collector\",\"az\":\"b\"}\n");
+            for (String message :
+                    List.of(
+                            HEARD.formatted("\"b\"", "\"s-1\"", "2", "0", "4", "1000", ""),
+                            HEARD.formatted(
+                                    "\"b\"",
+                                    "\"s-2\"",
+                                    "9",
+                                    "1",
+                                    "4.5",
+                                    "1000",
+                                    ",\"report\":{\"cpu_share\":0.4}"),
+                            HEARD.formatted("\"b\"", "\"s-9\"", "2", "0", "4", "1000", ""),
+                            HEARD.formatted("\"b\"", "\"s-1\"", "2", "3", "4", "1000", ""),
+                            HEARD.formatted("\"b\"", "\"s-1\"", "2", "0", "-4", "1000", ""),
+                            HEARD.formatted("\"b\"", "\"s-1\"", "1e300", "0", "4", "1000", ""),
+                            HEARD.formatted("null", "\"s-1\"", "2", "0", "4", "1000", ""),
+                            HEARD.formatted(
+                                    "\"b\"", "\"s-1\"", "2", "0", "4", "1000", ",\"report\":\"x\""),
+                            USAGE.formatted("7", "\"sign\"", "19", "0", "1000.0"),
+                            "{\"msg\":\"applied\",\"sidecar\":5,\"version\":1,\"lag_ms\":3}\n")) {
+                saysAndPings(peer, message);
+            }
+            sent("noise\n");
+            endsAfter(peer.say("noise\n"));
+        }
+        WireRecording.check("platform/collector-stream.out", transcript.toString());
+    }
+
+    private void says(Place.Peer peer, String text, int answers) throws IOException {
+        sent(text);
+        peer.say(text);
+        for (int i = 0; i < answers; i++) {
+            received(peer.line());
+        }
+    }
+
+    /** Later updates are passed over: when they come depends on the clock. */
+    private void saysAndPings(Place.Peer peer, String message) throws IOException {
+        sent(message + PING);
+        peer.say(message + PING);
+        received(peer.until("pong"));
+    }
+
+    private void endsAfter(Place.Peer peer) throws IOException {
+        String line = peer.line();
+        while (line != null && line.startsWith(UPDATE)) {
+            line = peer.line();
+        }
+        received(line);
+    }
+
+    /** The watch from a known revision, and anew from none after a list that cannot be read. */
+    @Test
+    void requestsToDiscovery() throws Exception {
+        try (Place place = new Place(folder);
+                ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            discovery.setSoTimeout(WAIT_MS);
+            place.posting("127.0.0.1:" + discovery.getLocalPort());
+            place.readsAgain();
+            answersWatch(discovery, Place.list(42, false, Place.entry("s-2", "draining")));
+            answersWatch(discovery, "{\"rev\":\"x\"}");
+            answersWatch(discovery, Place.list(50, true, Place.entry("s-3", "ready")));
+            answersWatch(discovery, Place.list(51, false));
+        }
+        WireRecording.check("platform/discovery-requests.out", transcript.toString());
+    }
+
+    /** Writes a request down, answers it with one line, and ends the connection. */
+    private void answersWatch(ServerSocket discovery, String list) throws IOException {
+        try (Place.Peer watch = new Place.Peer(discovery.accept())) {
+            transcript.append(requestHead(watch));
+            watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            watch.say(Place.chunk(list) + "0\r\n\r\n");
+        }
+    }
+
+    /** Lines up to the empty one; their carriage returns are shown. */
+    private static String requestHead(Place.Peer peer) throws IOException {
+        StringBuilder head = new StringBuilder();
+        String line;
+        do {
+            line = peer.line();
+            head.append(String.valueOf(line).replace("\r", "\\r")).append('\n');
+        } while (line != null && !line.equals("\r"));
+        return head.toString();
+    }
+
+    @Test
+    void requestsToEndpoints() throws Exception {
+        transcript.append("== endpoints that report their load\n");
+        probes(true);
+        transcript.append("== endpoints without reports\n");
+        probes(false);
+        WireRecording.check("platform/endpoint-requests.out", transcript.toString());
+    }
+
+    /** The whole request of a probe that is not answered, up to the end of the connection. */
+    private void probes(boolean reports) throws Exception {
+        CountDownLatch told = new CountDownLatch(1);
+        try (Loop loop = Loop.started("probes");
+                ServerSocket endpoint = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            endpoint.setSoTimeout(WAIT_MS);
+            Probes probes =
+                    new Probes(
+                            loop,
+                            reports,
+                            200,
+                            new Report("cpu_share"),
+                            (id, answer, load) -> told.countDown());
+            Named named = new Named(1, "s-1");
+            named.at =
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(), endpoint.getLocalPort());
+            loop.hand(() -> probes.ask(named));
+            try (Socket socket = endpoint.accept()) {
+                socket.setSoTimeout(WAIT_MS);
+                ByteArrayOutputStream request = new ByteArrayOutputStream();
+                socket.getInputStream().transferTo(request);
+                String text = request.toString(StandardCharsets.UTF_8);
+                transcript.append(text.replace("\r", "\\r"));
+            }
+            if (!told.await(WAIT_MS, TimeUnit.MILLISECONDS)) {
+                throw new AssertionError("the probe has no result");
+            }
+        }
+    }
+}
