--- a/src/main/java/sprucelanding/emulator/Office.java
+++ b/src/main/java/sprucelanding/emulator/Office.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
@@ -97,12 +98,12 @@
         planned = false;
         watches = false;
         steps.clear();
-        Set.copyOf(streams).forEach(Stream::ended);
+        List.copyOf(streams).forEach(Stream::ended);
     }
 
     void pauses(boolean on) {
         paused = on;
-        Set.copyOf(streams).forEach(Stream::look);
+        List.copyOf(streams).forEach(Stream::look);
         if (!on) {
             plan();
         }
@@ -183,7 +184,7 @@
     /** Its proxies and it do not hear each other. */
     void alone(boolean on) {
         alone = on;
-        Set.copyOf(streams).forEach(Stream::look);
+        List.copyOf(streams).forEach(Stream::look);
     }
 
     boolean alone() {
