--- /dev/null
+++ b/src/test/java/sprucelanding/emulator/RecordedDigest.java
@@ -0,0 +1,124 @@
+package sprucelanding.emulator;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import sprucelanding.capture.What;
+import sprucelanding.rules.Seen;
+
+/**
+ * Counts and digests what happens in an emulated day. It takes numbers to the last bit, and none of
+ * the names of classes, methods or constants: what each thing is goes in as a tag that is stated
+ * here.
+ */
+final class RecordedDigest {
+    private final MessageDigest digest;
+    private final ByteBuffer buffer = ByteBuffer.allocate(Long.BYTES);
+    private long count;
+
+    RecordedDigest() {
+        try {
+            digest = MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    long count() {
+        return count;
+    }
+
+    /** The count and the digest; to be asked for once, in the end. */
+    String line() {
+        return count + " " + HexFormat.of().formatHex(digest.digest());
+    }
+
+    /** Takes an order of a governor, in the life of its so numbered; leaves all else out. */
+    void order(int governor, int life, double at, What what, Object... fields) {
+        int tag = tag(what);
+        if (tag == 0) {
+            return;
+        }
+        count++;
+        put((long) tag);
+        put((long) governor);
+        put((long) life);
+        put(at);
+        for (Object field : fields) {
+            put(field);
+        }
+    }
+
+    /** Texts of the log are no decision. */
+    private static int tag(What what) {
+        return switch (what) {
+            case LINE -> 1;
+            case CLEAR -> 2;
+            case WITHDRAW -> 3;
+            case LEVEL -> 4;
+            case BIND -> 5;
+            case RECEIPT -> 6;
+            case PROBE -> 7;
+            case TELL_PEERS -> 8;
+            case WATCH_LIST -> 9;
+            case TIMER -> 10;
+            default -> 0;
+        };
+    }
+
+    /** Takes what proxies were told and by whom, and what came of clients' requests. */
+    void event(Seen event) {
+        if (event instanceof Seen.Message m) {
+            event(1, m.at(), m.proxy(), m.governor(), m.nonce(), m.lines(), epoch(m.voice()));
+        } else if (event instanceof Seen.Answered a) {
+            event(2, a.at(), a.proxy(), a.nonce(), a.refused() ? 1 : 0);
+        } else if (event instanceof Seen.Joined j) {
+            event(3, j.at(), j.proxy(), j.governor());
+        } else if (event instanceof Seen.Left l) {
+            event(4, l.at(), l.proxy());
+        } else if (event instanceof Seen.Sent s) {
+            event(5, s.at(), s.proxy(), s.replica(), s.product(), s.txn(), s.attempt());
+        } else if (event instanceof Seen.Ended e) {
+            event(6, e.at(), e.product(), e.txn(), e.outcome().ordinal());
+        }
+    }
+
+    private void event(int tag, double at, long... numbers) {
+        count++;
+        put((long) tag);
+        put(at);
+        for (long number : numbers) {
+            put(number);
+        }
+    }
+
+    /** The epoch of the lease under which a message was written; 0 where there are no leases. */
+    private static long epoch(String voice) {
+        int mark = voice.indexOf('#');
+        return mark < 0 ? 0 : Long.parseLong(voice.substring(mark + 1));
+    }
+
+    private void put(Object field) {
+        if (field instanceof Double number) {
+            put(number.doubleValue());
+        } else if (field instanceof Boolean yes) {
+            put(yes ? 1L : 0L);
+        } else if (field instanceof String text) {
+            byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+            put((long) bytes.length);
+            digest.update(bytes);
+        } else {
+            put(((Number) field).longValue());
+        }
+    }
+
+    private void put(double number) {
+        put(Double.doubleToLongBits(number));
+    }
+
+    private void put(long number) {
+        digest.update(buffer.clear().putLong(number).flip());
+    }
+}
