--- a/src/main/java/sprucelanding/emulator/Office.java
+++ b/src/main/java/sprucelanding/emulator/Office.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
@@ -98,12 +97,12 @@
         planned = false;
         watches = false;
         steps.clear();
-        List.copyOf(streams).forEach(Stream::ended);
+        Set.copyOf(streams).forEach(Stream::ended);
     }
 
     void pauses(boolean on) {
         paused = on;
-        List.copyOf(streams).forEach(Stream::look);
+        Set.copyOf(streams).forEach(Stream::look);
         if (!on) {
             plan();
         }
@@ -184,7 +183,7 @@
     /** Its proxies and it do not hear each other. */
     void alone(boolean on) {
         alone = on;
-        List.copyOf(streams).forEach(Stream::look);
+        Set.copyOf(streams).forEach(Stream::look);
     }
 
     boolean alone() {
--- a/src/main/java/sprucelanding/emulator/World.java
+++ b/src/main/java/sprucelanding/emulator/World.java
@@ -453,7 +453,7 @@
         } else {
             cut.remove(zone);
         }
-        offices.forEach(o -> List.copyOf(o.streams).forEach(Stream::look));
+        offices.forEach(o -> Set.copyOf(o.streams).forEach(Stream::look));
     }
 
     @Override
