--- /dev/null
+++ b/src/test/java/sprucelanding/loop/RecordedHttpTest.java
@@ -0,0 +1,75 @@
+package sprucelanding.loop;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import sprucelanding.rig.Recording;
+
+/**
+ * HTTP messages and the text form of load reports, byte for byte as they were recorded. Run with
+ * -Drecorded.write=true to write the recording. Recordings are never edited later: a difference is
+ * a defect of the step.
+ */
+class RecordedHttpTest {
+    private static final double MOST = 4;
+
+    private static String text(byte[] bytes) {
+        return new String(bytes, StandardCharsets.ISO_8859_1);
+    }
+
+    @Test
+    void requestsResponsesAndLoadReports() throws Exception {
+        Recording recording = new Recording("http-and-load-reports");
+        recording.add(text(Http.request("GET", "/probe")));
+        recording.add(text(Http.request("GET", "/list", "accept", "text/event-stream")));
+        recording.add(text(Http.response(200)));
+        recording.add(text(Http.response(503, "x-unrun", "1", "endpoint-load-metrics", "TEXT")));
+        recording.add(
+                text(
+                        Http.response(
+                                404,
+                                "none".getBytes(StandardCharsets.US_ASCII),
+                                "content-type",
+                                "text/plain")));
+        new Http(
+                        m ->
+                                recording.add(
+                                        m.first()
+                                                + " | "
+                                                + m.second()
+                                                + " | "
+                                                + m.status()
+                                                + " | "
+                                                + m.headers()
+                                                + " | "
+                                                + text(m.body())))
+                .received(
+                        ByteBuffer.wrap(
+                                ("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics:"
+                                                + " TEXT cpu_utilization=0.5\r\n"
+                                                + "Content-Length: 3\r\n\r\nabcGET /probe HTTP/1.1"
+                                                + "\r\nhost: l\r\n\r\nHTTP/1.1 200 OK\r\n"
+                                                + "Transfer-Encoding: chunked\r\n\r\n4;x=y\r\nfour"
+                                                + "\r\n0\r\n\r\n")
+                                        .getBytes(StandardCharsets.ISO_8859_1)));
+        for (String report :
+                List.of(
+                        "TEXT cpu_utilization=0.500, named_metrics.inflight=7, "
+                                + "named_metrics.latency_ms=12.5",
+                        "TEXT named_metrics.inflight=7,cpu_utilization=1",
+                        "TEXT cpu_utilization=4.01",
+                        "TEXT cpu_utilization=-0.1",
+                        "TEXT cpu_utilization=x",
+                        "TEXT cpu_utilization",
+                        "TEXT",
+                        "JSON {\"cpu_utilization\": 0.5}",
+                        "cpu_utilization=0.5",
+                        "")) {
+            for (String name : List.of("cpu_utilization", "named_metrics.latency_ms")) {
+                recording.add(report + " | " + name + " | " + LoadText.figure(report, name, MOST));
+            }
+        }
+        recording.check();
+    }
+}
