--- /dev/null
+++ b/src/test/java/sprucelanding/governor/RecordedOwnFilesTest.java
@@ -0,0 +1,111 @@
+package sprucelanding.governor;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import sprucelanding.fleet.Peers;
+import sprucelanding.recorded.Recorded;
+import sprucelanding.roster.Roll;
+
+/**
+ * Files of a governor's own: the number its next epochs begin above, the last list of replicas, and
+ * the keys that governors share. Recordings are written with {@code -Drecorded.write=true} only and
+ * never edited later: a difference is a defect of the step. Nothing is masked.
+ */
+@Timeout(30)
+class RecordedOwnFilesTest {
+    private static final long WALL = 1_700_000_000_000L;
+    private static final long HEARD = 1_700_000_000_000L + 60_000;
+    private static final List<String> ZONES = List.of("north", "south");
+    private static final List<String> KINDS = List.of("usual", "small");
+    private static final String CHANGES =
+            """
+            {"version": 41, "whole": true, "servers": [
+              {"id": 1, "at": "10.0.0.1:8080", "zone": "north", "kind": "usual", "weight": 1.5, "started": 1700000000000, "stage": "ready"},
+              {"id": 4294967295, "at": "[::1]:65535", "zone": "south", "kind": "small", "weight": 1, "started": 0, "stage": "draining"},
+              {"id": 3, "at": "gone.example:1", "zone": "south", "kind": "usual", "stage": "gone"}]}
+            """;
+
+    @TempDir private Path folder;
+
+    @Test
+    void theIncarnationFileIsWrittenAsRecorded() throws IOException {
+        Path file = folder.resolve("incarnation");
+        Lives first = new Lives(file, WALL);
+        assertEquals(WALL, first.life());
+        Recorded.assertBytes("governor/incarnation", Files.readAllBytes(file));
+        first.heard(HEARD);
+        Recorded.assertBytes("governor/incarnation-heard", Files.readAllBytes(file));
+    }
+
+    @Test
+    void theRecordedIncarnationIsWhatTheNextOneBeginsAbove() throws IOException {
+        Path file = folder.resolve("incarnation");
+        Files.copy(Recorded.file("governor/incarnation"), file);
+        assertEquals(WALL + 100_001, new Lives(file, WALL - 5).life());
+        assertEquals((WALL + 200_001) + "\n", Files.readString(file));
+        Path heard = folder.resolve("heard");
+        Files.copy(Recorded.file("governor/incarnation-heard"), heard);
+        assertEquals(HEARD + 100_001, new Lives(heard, WALL).life());
+    }
+
+    @Test
+    void theKeptListIsWrittenAsRecorded() throws Exception {
+        Roll list = new Roll(ZONES, KINDS);
+        list.tell(CHANGES);
+        Path file = folder.resolve("list");
+        Keep keep = new Keep(file);
+        assertNull(keep.read());
+        keep.put(list.text());
+        while (!Files.exists(file)) {
+            Thread.sleep(1);
+        }
+        keep.close();
+        Recorded.assertBytes("governor/endpoint-list.json", Files.readAllBytes(file));
+    }
+
+    @Test
+    void theRecordedListIsReadInFull() throws Exception {
+        Path file = folder.resolve("list");
+        Files.copy(Recorded.file("governor/endpoint-list.json"), file);
+        Keep keep = new Keep(file);
+        Roll list = new Roll(ZONES, KINDS);
+        Roll.Told told = list.tell(keep.read());
+        keep.close();
+        assertEquals(41, told.version());
+        assertEquals(true, told.whole());
+        assertEquals(2, told.entries().size());
+        var first = list.entry(1);
+        assertEquals("10.0.0.1:8080", first.host() + ":" + first.port());
+        assertEquals(List.of(0, 0), List.of(first.zone(), first.kind()));
+        assertEquals(List.of(1.5, 1.7e12), List.of(first.weight(), first.startedAt()));
+        assertEquals(0, first.stage().ordinal());
+        var second = list.entry(4294967295L);
+        assertEquals("[::1]:65535", second.host() + ":" + second.port());
+        assertEquals(List.of(1, 1), List.of(second.zone(), second.kind()));
+        assertEquals(List.of(1.0, 0.0), List.of(second.weight(), second.startedAt()));
+        assertEquals(1, second.stage().ordinal());
+        assertEquals(Files.readString(file), list.text());
+    }
+
+    /** The file is written by hand; what it decodes to is seen by what its keys sign. */
+    @Test
+    void theFirstRecordedKeySignsAndAllAreAccepted() throws Exception {
+        Secrets both = new Secrets(Recorded.privateCopy("governor/keys", folder));
+        Secrets old = new Secrets(Recorded.privateCopy("governor/old-key", folder));
+        Peers.Beat beat = new Peers.Beat(3, List.of());
+        Recorded.assertBytes("governor/signed-by-first-key", both.packets().put(beat));
+        Recorded.assertBytes("governor/signed-by-second-key", old.packets().put(beat));
+        for (String each :
+                List.of("governor/signed-by-first-key", "governor/signed-by-second-key")) {
+            assertEquals(beat, both.packets().take(Files.readAllBytes(Recorded.file(each))));
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/sprucelanding/lab/RecordedLabTest.java
@@ -0,0 +1,64 @@
+package sprucelanding.lab;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import sprucelanding.recorded.Recorded;
+
+/**
+ * The stored results of an experiment in virtual time. The store is a file of the database H2,
+ * which keeps wall-clock times of its own: it is compared by its content, not by its bytes. In each
+ * result {@code tookMs}, the time that the machine took, is masked and nothing else. Recordings are
+ * written with {@code -Drecorded.write=true} only and never edited later: a difference is a defect
+ * of the step.
+ */
+@Timeout(60)
+class RecordedLabTest {
+    private static final String STORE = "lab/lab.cue.mv";
+
+    @TempDir private Path folder;
+
+    @Test
+    void theExperimentRunAnewIsStoredAsRecorded() throws Exception {
+        Path store = folder.resolve("store");
+        Lab lab = Lab.read(Recorded.file("lab/lab.cue"));
+        try (Results results = new Results(store)) {
+            assertEquals(12, lab.run(results, 2, line -> {}));
+        }
+        if (Recorded.writes()) {
+            Files.copy(store, Recorded.file(STORE), StandardCopyOption.REPLACE_EXISTING);
+        }
+        try (Results results = new Results(store)) {
+            assertTexts(lab, results);
+        }
+    }
+
+    @Test
+    void theRecordedStoreIsReadInFullAndNothingIsRunAgain() throws Exception {
+        Path store = folder.resolve("store");
+        Files.copy(Recorded.file(STORE), store);
+        Lab lab = Lab.read(Recorded.file("lab/lab.cue"));
+        try (Results results = new Results(store)) {
+            assertEquals(0, lab.run(results, 2, line -> {}));
+            assertTexts(lab, results);
+        }
+    }
+
+    private static void assertTexts(Lab lab, Results results) throws IOException {
+        StringBuilder all = new StringBuilder();
+        for (JsonNode result : results.all()) {
+            all.append(result.toString().replaceFirst("\"tookMs\":[0-9.E]+", "\"tookMs\":0"));
+            all.append('\n');
+        }
+        Recorded.assertText("lab/results.jsonl", all.toString());
+        Recorded.assertText("lab/results.csv", lab.csv(results));
+        Recorded.assertText("lab/comparison.md", lab.compare(results));
+    }
+}
--- /dev/null
+++ b/src/test/java/sprucelanding/program/RecordedReportsTest.java
@@ -0,0 +1,114 @@
+package sprucelanding.program;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import sprucelanding.recorded.Recorded;
+
+/**
+ * What the commands print of recorded files, and the reports of an emulated day that other programs
+ * read. Masked is only the speed of the machine in the last lines of {@code emulate}. Recordings
+ * are written with {@code -Drecorded.write=true} only and never edited later: a difference is a
+ * defect of the step.
+ */
+@Timeout(60)
+class RecordedReportsTest {
+    private static final String DAY = Recorded.file("lab/day.cue").toString();
+    private static final String CAPTURE = Recorded.file("day/governor-0.cap").toString();
+
+    @TempDir private Path folder;
+
+    @ParameterizedTest
+    @ValueSource(strings = {"GOVERNORS", "EVEN", "HANDS_OFF", "INVERSE", "SEEING"})
+    void anEmulatedDayIsReportedAsRecorded(String policy) throws Exception {
+        Path report = folder.resolve("report.json");
+        String table =
+                printed("emulate", DAY, "--policy", policy, "--report", report.toString(), "--log");
+        Recorded.assertText("reports/emulate-" + policy + ".txt", withoutSpeed(table));
+        Recorded.assertBytes("reports/emulate-" + policy + ".json", Files.readAllBytes(report));
+    }
+
+    @Test
+    void aCaptureIsShownAsRecorded() throws Exception {
+        Recorded.assertText("reports/capture-show.txt", printed("capture", "show", CAPTURE));
+        Recorded.assertText(
+                "reports/capture-counts.txt", printed("capture", "show", "--counts", CAPTURE));
+        Recorded.assertText(
+                "reports/capture-all-kinds.txt",
+                printed("capture", "show", Recorded.file("capture/kinds.cap").toString()));
+        Recorded.assertText(
+                "reports/capture-dropped.txt",
+                printed("capture", "show", Recorded.file("capture/dropped.cap").toString()));
+        Recorded.assertText(
+                "reports/capture-filtered.txt",
+                printed(
+                        "capture",
+                        "show",
+                        "--counts",
+                        "--side",
+                        "INPUT,TRUTH",
+                        "--what",
+                        "CLOCK,LISTED,LINE",
+                        CAPTURE));
+    }
+
+    @Test
+    void aCaptureIsDecidedAgainAsRecorded() throws Exception {
+        for (String capture : new String[] {"governor-0", "governor-1"}) {
+            Recorded.assertText(
+                    "reports/decide-" + capture + ".txt",
+                    printed(
+                            "capture",
+                            "decide",
+                            Recorded.file("day/" + capture + ".cap").toString()));
+        }
+    }
+
+    @Test
+    void aCapturedDayIsReplayedAsRecorded() throws Exception {
+        Recorded.assertText(
+                "reports/replay.txt",
+                printed(
+                        "replay",
+                        Recorded.file("day").toString(),
+                        "--fleet",
+                        DAY,
+                        "--runs",
+                        "2",
+                        "--spells",
+                        "--windows",
+                        "--policy",
+                        "EVEN"));
+    }
+
+    @Test
+    void storedResultsAreListedAsRecorded() throws Exception {
+        Path store = folder.resolve("store");
+        Files.copy(Recorded.file("lab/lab.cue.mv"), store);
+        Recorded.assertText(
+                "reports/lab-show.txt",
+                printed(
+                        "lab",
+                        "show",
+                        Recorded.file("lab/lab.cue").toString(),
+                        "--store",
+                        store.toString()));
+    }
+
+    private static String printed(String... args) throws Exception {
+        return Recorded.printed(() -> Commands.run(args));
+    }
+
+    private static String withoutSpeed(String table) {
+        return table.replaceAll(
+                        "[0-9]+ txns a second of this machine \\([0-9.]+ s\\)",
+                        "N txns a second of this machine (N s)")
+                .replaceAll(
+                        "hearing them took [0-9.]+ ms of this machine",
+                        "hearing them took N ms of this machine");
+    }
+}
--- /dev/null
+++ b/src/test/java/sprucelanding/soak/RecordedSoakReportTest.java
@@ -0,0 +1,33 @@
+package sprucelanding.soak;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.Arrays;
+import java.util.List;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+
+/** What a soak prints of its result: the names of the rules, and the line of its figures. */
+class RecordedSoakReportTest {
+    @Test
+    void rulesArePrintedByTheirNames() {
+        assertEquals(
+                List.of("DRAIN", "NO_ENDPOINT", "BACKLOG", "MESSAGES", "CRASH", "INTERNAL"),
+                Arrays.stream(InvariantChecker.Rule.values()).map(String::valueOf).toList());
+    }
+
+    @Test
+    void theReportIsPrintedAsBefore() {
+        TreeMap<String, Integer> violations = new TreeMap<>();
+        assertEquals(
+                "seed 7: no violation, 3 joins, 4 messages, 0 removals counted as late",
+                new Soak.Report(7, violations, List.of(), 3, 4, 0).toString());
+        violations.put("DRAIN", 2);
+        violations.put("CRASH", 1);
+        assertEquals(
+                "seed 7: violations {CRASH=1, DRAIN=2}, 3 joins, 4 messages, 5 removals counted as"
+                        + " late\n  DRAIN: x\n  CRASH: y",
+                new Soak.Report(7, violations, List.of("DRAIN: x", "CRASH: y"), 3, 4, 5)
+                        .toString());
+    }
+}
--- /dev/null
+++ b/src/test/resources/recorded/stored/lab/slow.cue
@@ -0,0 +1,1 @@
+reports: every: 1s
