--- a/src/main/java/sprucelanding/program/Commands.java
+++ b/src/main/java/sprucelanding/cli/Commands.java
@@ -1,4 +1,4 @@
-package sprucelanding.program;
+package sprucelanding.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,15 +12,15 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucelanding.day.Day;
-import sprucelanding.day.EditRate;
-import sprucelanding.day.Load;
-import sprucelanding.day.Measure;
-import sprucelanding.day.Script;
-import sprucelanding.emulator.Emulation;
-import sprucelanding.emulator.Policy;
-import sprucelanding.records.Invalid;
-import sprucelanding.station.Station;
+import sprucelanding.config.governor.GovernorConfig;
+import sprucelanding.config.records.InvalidRecordsException;
+import sprucelanding.simulation.emulator.Emulation;
+import sprucelanding.simulation.emulator.RoutingPolicy;
+import sprucelanding.simulation.scenario.EditRateBenchmark;
+import sprucelanding.simulation.scenario.GovernorBenchmark;
+import sprucelanding.simulation.scenario.LoadGenerator;
+import sprucelanding.simulation.scenario.Scenario;
+import sprucelanding.simulation.scenario.ScenarioRunner;
 
 /**
  * The sub-commands. Exit codes: 0 well, 1 it failed or a rule broke, 2 what was given cannot be
@@ -32,17 +32,17 @@
         version = "0.2.0",
         description = "Publishes routing tables to a fleet of plain proxies.",
         subcommands = {
-            Commands.Govern.class,
-            Commands.Play.class,
+            Commands.RunGovernor.class,
+            Commands.PlayScenario.class,
             RecordsCommand.Check.class,
-            Commands.Gauge.class,
-            Commands.Edits.class,
-            Commands.Bench.class,
-            Captures.class,
-            Commands.Emulate.class,
-            Replays.class,
-            Labs.class,
-            Commands.Loads.class,
+            Commands.MeasureGovernor.class,
+            Commands.MeasureEdits.class,
+            Commands.RunAdapter.class,
+            CaptureCommand.class,
+            Commands.EmulateScenario.class,
+            ReplayCommand.class,
+            LabCommand.class,
+            Commands.GenerateLoad.class,
             RecordsCommand.class,
             ExpectCommand.class,
             SoakCommand.class
@@ -53,18 +53,19 @@
     static int run(String[] args) {
         return new CommandLine(new Commands())
                 .setExecutionExceptionHandler(
-                        (e, line, parsed) -> {
-                            if (e instanceof Invalid
-                                    || e instanceof IOException
-                                    || e instanceof IllegalArgumentException) {
-                                line.getErr()
+                        (error, commandLine, parseResult) -> {
+                            if (error instanceof InvalidRecordsException
+                                    || error instanceof IOException
+                                    || error instanceof IllegalArgumentException) {
+                                commandLine
+                                        .getErr()
                                         .println(
-                                                e instanceof IOException
-                                                        ? e.toString()
-                                                        : e.getMessage());
+                                                error instanceof IOException
+                                                        ? error.toString()
+                                                        : error.getMessage());
                                 return 2;
                             }
-                            throw e;
+                            throw error;
                         })
                 .execute(args);
     }
@@ -73,34 +74,41 @@
             name = "govern",
             mixinStandardHelpOptions = true,
             description = "Runs a governor until it is stopped.")
-    static final class Govern implements Callable<Integer> {
+    static final class RunGovernor implements Callable<Integer> {
         private static final Logger LOG = LoggerFactory.getLogger("sprucelanding.govern");
-        private static final double LEAVES = 2500; // ms that it has for sending its proxies on
+        private static final double HANDOVER_TIMEOUT_MILLIS =
+                2500; // ms that it has for sending its proxies on
 
         @Option(names = "--config", required = true, description = "its station, a file of records")
         private Path config;
 
-        @Mixin private With with;
+        @Mixin private ConfigOverlay overlay;
 
         @Override
         public Integer call() throws Exception {
             String text = Files.readString(config);
-            Station station =
-                    Station.parse(config.getFileName().toString(), text, with.name(), with.text());
-            Build.Built built = Build.build(station, text);
+            GovernorConfig governorConfig =
+                    GovernorConfig.parse(
+                            config.getFileName().toString(), text, overlay.name(), overlay.text());
+            GovernorFactory.GovernorInstance governor =
+                    GovernorFactory.create(governorConfig, text);
             Runtime.getRuntime()
                     .addShutdownHook(
                             new Thread(
                                     () -> {
-                                        boolean shares = !station.peers().others().isEmpty();
-                                        boolean gone = shares && built.governor().leaves(LEAVES);
+                                        boolean hasPeers =
+                                                !governorConfig.peers().others().isEmpty();
+                                        boolean proxiesHandedOver =
+                                                hasPeers
+                                                        && governor.governor()
+                                                                .drain(HANDOVER_TIMEOUT_MILLIS);
                                         LOG.atInfo()
                                                 .setMessage("stops")
-                                                .addKeyValue("proxiesSentOn", gone)
+                                                .addKeyValue("proxiesSentOn", proxiesHandedOver)
                                                 .log();
-                                        built.close();
+                                        governor.close();
                                     }));
-            built.start(station.reports().every());
+            governor.start(governorConfig.reports().every());
             Thread.currentThread().join();
             return 0;
         }
@@ -111,9 +119,9 @@
             mixinStandardHelpOptions = true,
             description =
                     "Plays a scripted day on loopback, simulated fleet and all, and judges the rules.")
-    static final class Play implements Callable<Integer> {
+    static final class PlayScenario implements Callable<Integer> {
         @Parameters(paramLabel = "SCRIPT", description = "the day, a file of records")
-        private Path script;
+        private Path scenarioFile;
 
         @Option(names = "--report", description = "write the figures there too, as JSON")
         private Path report;
@@ -125,32 +133,32 @@
                 names = "--tables",
                 description = "whose tables: ${COMPLETION-CANDIDATES} (default: governors)",
                 defaultValue = "governors")
-        private Day.Tables tables;
+        private ScenarioRunner.TableSource tables;
 
         @Option(names = "--logs", description = "keep the governors' logs in this folder")
         private Path logs;
 
-        @Mixin private With with;
+        @Mixin private ConfigOverlay overlay;
 
         @Option(
                 names = "--captures",
                 description =
                         "governors' captures go there too, and what stand-ins know of the txns")
-        private boolean captures;
+        private boolean keepCaptures;
 
         @Override
         public Integer call() throws Exception {
-            Script day = Script.read(script);
-            System.err.println("seed " + day.seed());
-            Day.Outcome outcome =
-                    new Day(
-                                    day,
-                                    seconds > 0 ? seconds * 1000 : day.lasts(),
+            Scenario scenario = Scenario.read(scenarioFile);
+            System.err.println("seed " + scenario.seed());
+            ScenarioRunner.ScenarioResult outcome =
+                    new ScenarioRunner(
+                                    scenario,
+                                    seconds > 0 ? seconds * 1000 : scenario.lasts(),
                                     tables,
-                                    with.file(),
+                                    overlay.file(),
                                     logs,
-                                    captures)
-                            .play();
+                                    keepCaptures)
+                            .run();
             System.out.print(outcome.table());
             if (report != null) {
                 outcome.write(report);
@@ -164,9 +172,9 @@
             mixinStandardHelpOptions = true,
             description =
                     "Plays a scripted day in virtual time, the governors' own core and all, and judges the rules.")
-    static final class Emulate implements Callable<Integer> {
+    static final class EmulateScenario implements Callable<Integer> {
         @Parameters(paramLabel = "SCRIPT", description = "the day, a file of records")
-        private Path script;
+        private Path scenarioFile;
 
         @Option(names = "--seconds", description = "play so many seconds only")
         private double seconds;
@@ -175,62 +183,62 @@
                 names = "--policy",
                 description = "whose tables: ${COMPLETION-CANDIDATES} (default: GOVERNORS)",
                 defaultValue = "GOVERNORS")
-        private Policy policy;
+        private RoutingPolicy policy;
 
-        @Mixin private With with;
+        @Mixin private ConfigOverlay overlay;
 
         @Option(names = "--report", description = "write the figures there too, as JSON")
         private Path report;
 
         @Option(names = "--log", description = "print what governors log")
-        private boolean log;
+        private boolean printLog;
 
         @Override
         public Integer call() throws Exception {
-            Script day = Script.read(script);
-            Emulation.Result r =
+            Scenario scenario = Scenario.read(scenarioFile);
+            Emulation.Result result =
                     Emulation.play(
-                            day,
-                            seconds > 0 ? seconds * 1000 : day.lasts(),
-                            Emulation.stations(day, with.name(), with.text()),
+                            scenario,
+                            seconds > 0 ? seconds * 1000 : scenario.lasts(),
+                            Emulation.governorConfigs(scenario, overlay.name(), overlay.text()),
                             policy,
-                            new Emulation.Ears() {
+                            new Emulation.EmulationListener() {
                                 @Override
-                                public boolean logs() {
-                                    return log;
+                                public boolean wantsLog() {
+                                    return printLog;
                                 }
 
                                 @Override
-                                public void logged(String line) {
-                                    System.out.println(line);
+                                public void onLogLine(String commandLine) {
+                                    System.out.println(commandLine);
                                 }
                             });
-            System.out.print(r.outcome().table());
+            System.out.print(result.outcome().table());
             System.out.printf(
                     Locale.ROOT,
                     "order in force p50 %.1f ms, p99 %.1f ms; %d txns, %d tries; %d bugs; "
                             + "%.0f txns a second of this machine (%.1f s), hash %016x%n",
-                    r.inForceP50(),
-                    r.inForceP99(),
-                    r.txns(),
-                    r.tries(),
-                    r.bugs(),
-                    r.txns() / r.took() * 1000,
-                    r.took() / 1000,
-                    r.hash());
-            if (day.governors().shared()) {
+                    result.acknowledgementP50Millis(),
+                    result.acknowledgementP99Millis(),
+                    result.requests(),
+                    result.attempts(),
+                    result.internalErrors(),
+                    result.requests() / result.wallMillis() * 1000,
+                    result.wallMillis() / 1000,
+                    result.hash());
+            if (scenario.governors().shared()) {
                 System.out.printf(
                         Locale.ROOT,
                         "governors told each other %.0f packets, %.0f bytes a second in all; hearing them took "
                                 + "%.1f ms of this machine a second%n",
-                        r.peerPackets(),
-                        r.peerBytes(),
-                        r.sharingTook());
+                        result.peerPacketsPerSecond(),
+                        result.peerBytesPerSecond(),
+                        result.peerHandlingMillisPerSecond());
             }
             if (report != null) {
-                r.outcome().write(report);
+                result.outcome().write(report);
             }
-            return r.outcome().kept() && r.bugs() == 0 ? 0 : 1;
+            return result.outcome().kept() && result.internalErrors() == 0 ? 0 : 1;
         }
     }
 
@@ -239,9 +247,9 @@
             mixinStandardHelpOptions = true,
             description =
                     "A script's clients against proxies that run, open loop; waits count from when a txn was to come.")
-    static final class Loads implements Callable<Integer> {
+    static final class GenerateLoad implements Callable<Integer> {
         @Parameters(paramLabel = "SCRIPT", description = "the day that names products and clients")
-        private Path script;
+        private Path scenarioFile;
 
         @Option(
                 names = "--to",
@@ -249,7 +257,7 @@
                 split = ",",
                 paramLabel = "HOST:PORT",
                 description = "proxies")
-        private String[] to;
+        private String[] proxyAddresses;
 
         @Option(names = "--txns", description = "a second in all (default: as the day has it)")
         private double txns;
@@ -259,12 +267,14 @@
 
         @Override
         public Integer call() throws Exception {
-            Script day = Script.read(script);
+            Scenario scenario = Scenario.read(scenarioFile);
             StringBuilder table = new StringBuilder();
-            new Load(
-                            day,
-                            java.util.Arrays.stream(to).map(t -> Build.address(t, "--to")).toList(),
-                            txns > 0 ? txns : day.txns())
+            new LoadGenerator(
+                            scenario,
+                            java.util.Arrays.stream(proxyAddresses)
+                                    .map(address -> GovernorFactory.parseAddress(address, "--to"))
+                                    .toList(),
+                            txns > 0 ? txns : scenario.txns())
                     .run(seconds * 1000, table);
             System.out.print(table);
             return 0;
@@ -276,7 +286,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Measures a governor at a size: from decision to bytes written and to acknowledgement.")
-    static final class Gauge implements Callable<Integer> {
+    static final class MeasureGovernor implements Callable<Integer> {
         @Option(names = "--proxies", defaultValue = "209")
         private int proxies;
 
@@ -297,7 +307,8 @@
 
         @Override
         public Integer call() throws Exception {
-            System.out.print(new Measure(proxies, replicas, seconds * 1000, slow, devices).run());
+            System.out.print(
+                    new GovernorBenchmark(proxies, replicas, seconds * 1000, slow, devices).run());
             return 0;
         }
     }
@@ -306,7 +317,7 @@
             name = "edits",
             mixinStandardHelpOptions = true,
             description = "Measures how many edits a second the NETCONF front carries.")
-    static final class Edits implements Callable<Integer> {
+    static final class MeasureEdits implements Callable<Integer> {
         @Option(names = "--devices", split = ",", defaultValue = "1,8,32,64")
         private int[] devices;
 
@@ -315,9 +326,9 @@
 
         @Override
         public Integer call() throws Exception {
-            for (int n : devices) {
-                System.out.print(new EditRate(n, false).run(seconds * 1000));
-                System.out.print(new EditRate(n, true).run(seconds * 1000));
+            for (int deviceCount : devices) {
+                System.out.print(new EditRateBenchmark(deviceCount, false).run(seconds * 1000));
+                System.out.print(new EditRateBenchmark(deviceCount, true).run(seconds * 1000));
             }
             return 0;
         }
@@ -327,10 +338,12 @@
     @Command(
             name = "adapter",
             description = "The decisions on the simulator's wire, standard input and output.")
-    static final class Bench implements Callable<Integer> {
+    static final class RunAdapter implements Callable<Integer> {
         @Override
         public Integer call() {
-            return new sprucelanding.wire.Adapter(System.in, System.out, System.err).run();
+            return new sprucelanding.simulation.simulator.SimulatorAdapter(
+                            System.in, System.out, System.err)
+                    .run();
         }
     }
 }
--- a/src/main/java/sprucelanding/program/With.java
+++ b/src/main/java/sprucelanding/cli/ConfigOverlay.java
@@ -1,4 +1,4 @@
-package sprucelanding.program;
+package sprucelanding.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,11 +6,11 @@
 import picocli.CommandLine.Option;
 
 /** The option of records that are laid over a station. */
-final class With {
+final class ConfigOverlay {
     @Option(names = "--with", description = "records laid over each governor's station")
     private Path file;
 
-    boolean given() {
+    boolean isGiven() {
         return file != null;
     }
 
--- a/src/main/java/sprucelanding/program/Labs.java
+++ b/src/main/java/sprucelanding/cli/LabCommand.java
@@ -1,4 +1,4 @@
-package sprucelanding.program;
+package sprucelanding.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.file.Files;
@@ -8,27 +8,32 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucelanding.lab.Lab;
-import sprucelanding.lab.Results;
+import sprucelanding.simulation.experiment.ExperimentRunner;
+import sprucelanding.simulation.experiment.ResultStore;
 
 /** Experiments in virtual time. */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
         description = "Experiments in virtual time: days x settings x seeds.",
-        subcommands = {Labs.Run.class, Labs.Compare.class, Labs.Show.class, Labs.Search.class})
-final class Labs {
-    private Labs() {}
+        subcommands = {
+            LabCommand.Run.class,
+            LabCommand.Compare.class,
+            LabCommand.Show.class,
+            LabCommand.Search.class
+        })
+final class LabCommand {
+    private LabCommand() {}
 
-    private abstract static class Task implements Callable<Integer> {
+    private abstract static class ExperimentTask implements Callable<Integer> {
         @Parameters(paramLabel = "EXPERIMENT", description = "a file of records")
-        Path file;
+        Path experimentFile;
 
         @Option(names = "--store", description = "where results are kept (default: EXPERIMENT.mv)")
         Path store;
 
-        final Results results() throws java.io.IOException {
-            return new Results(store != null ? store : Path.of(file + ".mv"));
+        final ResultStore openResults() throws java.io.IOException {
+            return new ResultStore(store != null ? store : Path.of(experimentFile + ".mv"));
         }
     }
 
@@ -36,16 +41,16 @@
             name = "run",
             mixinStandardHelpOptions = true,
             description = "Runs what was not run yet; it can be stopped and run again.")
-    static final class Run extends Task {
+    static final class Run extends ExperimentTask {
         @Option(names = "--cores", description = "(default: all)")
         private int cores = Runtime.getRuntime().availableProcessors();
 
         @Override
         public Integer call() throws Exception {
-            Lab lab = Lab.read(file);
-            try (Results results = results()) {
-                lab.run(results, cores, System.err::println);
-                System.out.print(lab.compare(results));
+            ExperimentRunner runner = ExperimentRunner.read(experimentFile);
+            try (ResultStore results = openResults()) {
+                runner.run(results, cores, System.err::println);
+                System.out.print(runner.compare(results));
             }
             return 0;
         }
@@ -56,23 +61,23 @@
             mixinStandardHelpOptions = true,
             description =
                     "Paired differences with their intervals; with --into also CSV, Markdown and charts.")
-    static final class Compare extends Task {
+    static final class Compare extends ExperimentTask {
         @Option(names = "--into", description = "a folder for tables and charts")
         private Path into;
 
         @Override
         public Integer call() throws Exception {
             System.setProperty("java.awt.headless", "true");
-            Lab lab = Lab.read(file);
-            try (Results results = results()) {
-                String table = lab.compare(results);
+            ExperimentRunner runner = ExperimentRunner.read(experimentFile);
+            try (ResultStore results = openResults()) {
+                String table = runner.compare(results);
                 System.out.print(table);
                 if (into != null) {
                     Files.createDirectories(into);
-                    Files.writeString(into.resolve(lab.experiment().name() + ".md"), table);
+                    Files.writeString(into.resolve(runner.experiment().name() + ".md"), table);
                     Files.writeString(
-                            into.resolve(lab.experiment().name() + ".csv"), lab.csv(results));
-                    lab.charts(results, into);
+                            into.resolve(runner.experiment().name() + ".csv"), runner.csv(results));
+                    runner.charts(results, into);
                 }
             }
             return 0;
@@ -83,25 +88,25 @@
             name = "show",
             mixinStandardHelpOptions = true,
             description = "Lists results, with the text of their settings.")
-    static final class Show extends Task {
+    static final class Show extends ExperimentTask {
         @Override
         public Integer call() throws Exception {
-            try (Results results = results()) {
-                for (JsonNode r : results.all()) {
+            try (ResultStore results = openResults()) {
+                for (JsonNode result : results.allResults()) {
                     System.out.printf(
                             Locale.ROOT,
                             "%s, %s (%s), seed %d: service %.4f, worst 10 s %.3f, broken %s%s%n",
-                            r.path("day").asText(),
-                            r.path("setting").asText(),
-                            r.path("policy").asText(),
-                            r.path("seed").asLong(),
-                            r.path("service").asDouble(),
-                            r.path("worst10s").asDouble(),
-                            r.path("broken"),
-                            r.path("overlay").asText().isBlank()
+                            result.path("day").asText(),
+                            result.path("setting").asText(),
+                            result.path("policy").asText(),
+                            result.path("seed").asLong(),
+                            result.path("service").asDouble(),
+                            result.path("worst10s").asDouble(),
+                            result.path("broken"),
+                            result.path("overlay").asText().isBlank()
                                     ? ""
                                     : ", with "
-                                            + r.path("overlay")
+                                            + result.path("overlay")
                                                     .asText()
                                                     .strip()
                                                     .replace('\n', ' '));
@@ -116,13 +121,14 @@
             mixinStandardHelpOptions = true,
             description =
                     "Looks for the troubles on which a setting loses most, and cuts them down.")
-    static final class Search extends Task {
+    static final class Search extends ExperimentTask {
         @Option(names = "--cores", description = "(default: all)")
         private int cores = Runtime.getRuntime().availableProcessors();
 
         @Override
         public Integer call() throws Exception {
-            System.out.print(Lab.read(file).search(cores, System.err::println));
+            System.out.print(
+                    ExperimentRunner.read(experimentFile).search(cores, System.err::println));
             return 0;
         }
     }
--- a/src/main/java/sprucelanding/program/Main.java
+++ b/src/main/java/sprucelanding/cli/Main.java
@@ -1,7 +1,7 @@
-package sprucelanding.program;
+package sprucelanding.cli;
 
-import sprucelanding.platform.Serve;
-import sprucelanding.wire.Adapter;
+import sprucelanding.runtime.server.GovernorServer;
+import sprucelanding.simulation.simulator.SimulatorAdapter;
 
 /**
  * The program's door. The adapter and the governor in service start at once; all else through
@@ -12,10 +12,10 @@
 
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("adapter")) {
-            System.exit(new Adapter(System.in, System.out, System.err).run());
+            System.exit(new SimulatorAdapter(System.in, System.out, System.err).run());
         }
         if (args.length == 1 && args[0].equals("serve")) {
-            System.exit(Serve.run(System.getenv(), System.err));
+            System.exit(GovernorServer.run(System.getenv(), System.err));
         }
         System.exit(Commands.run(args));
     }
--- a/src/main/java/sprucelanding/program/RecordsCommand.java
+++ b/src/main/java/sprucelanding/cli/RecordsCommand.java
@@ -1,4 +1,4 @@
-package sprucelanding.program;
+package sprucelanding.cli;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,15 +10,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucelanding.day.Script;
-import sprucelanding.emulator.Emulation;
-import sprucelanding.lab.Experiment;
-import sprucelanding.lab.Lab;
-import sprucelanding.records.Format;
-import sprucelanding.records.Invalid;
-import sprucelanding.records.Records;
-import sprucelanding.station.Parts;
-import sprucelanding.station.Station;
+import sprucelanding.config.governor.GovernorComponents;
+import sprucelanding.config.governor.GovernorConfig;
+import sprucelanding.config.records.InvalidRecordsException;
+import sprucelanding.config.records.RecordFormatter;
+import sprucelanding.config.records.Records;
+import sprucelanding.simulation.emulator.Emulation;
+import sprucelanding.simulation.experiment.Experiment;
+import sprucelanding.simulation.experiment.ExperimentRunner;
+import sprucelanding.simulation.scenario.Scenario;
 
 /**
  * Files of records: what is wrong with them, what they come to, what differs, and one look for
@@ -32,7 +32,7 @@
             RecordsCommand.Check.class,
             RecordsCommand.Show.class,
             RecordsCommand.Diff.class,
-            RecordsCommand.Fmt.class
+            RecordsCommand.Reformat.class
         })
 final class RecordsCommand {
     /** What a file or folder is meant to be. */
@@ -45,25 +45,31 @@
     private RecordsCommand() {}
 
     /** A day is well if its governors' stations are, too. */
-    private static void days(Script day) throws Invalid {
-        day.check();
-        for (Station s : Emulation.stations(day, null, null)) {
-            Parts.module(s);
-            Parts.sharing(s, 0, 0);
+    private static void validateScenario(Scenario scenario) throws InvalidRecordsException {
+        scenario.check();
+        for (GovernorConfig config : Emulation.governorConfigs(scenario, null, null)) {
+            GovernorComponents.controller(config);
+            GovernorComponents.fleetMember(config, 0, 0);
         }
     }
 
-    private static Kind kind(Path file) throws IOException {
+    private static Kind guessKind(Path file) throws IOException {
         String text = Files.isDirectory(file) ? "" : Files.readString(file);
         return text.contains("lasts:") && text.contains("troubles:")
                 ? Kind.day
                 : text.contains("settings:") ? Kind.lab : Kind.station;
     }
 
-    private static List<Records.Shown> shown(Kind kind, Path file) throws Invalid, IOException {
+    private static List<Records.ResolvedField> resolveFields(Kind kind, Path file)
+            throws InvalidRecordsException, IOException {
         return switch (kind) {
-            case station -> Records.show(file, Station.SCHEMA, Station.DEFINITION, Station.class);
-            case day -> Records.show(file, Script.SCHEMA, Script.DEFINITION, Script.class);
+            case station ->
+                    Records.show(
+                            file,
+                            GovernorConfig.SCHEMA,
+                            GovernorConfig.DEFINITION,
+                            GovernorConfig.class);
+            case day -> Records.show(file, Scenario.SCHEMA, Scenario.DEFINITION, Scenario.class);
             case lab ->
                     Records.show(file, Experiment.SCHEMA, Experiment.DEFINITION, Experiment.class);
         };
@@ -90,19 +96,19 @@
             int faults = 0;
             for (Path file : files) {
                 try {
-                    switch (kind == null ? kind(file) : kind) {
+                    switch (kind == null ? guessKind(file) : kind) {
                         case station ->
-                                Build.check(
+                                GovernorFactory.validate(
                                         Records.read(
                                                 file,
-                                                Station.SCHEMA,
-                                                Station.DEFINITION,
-                                                Station.class));
-                        case day -> days(Script.read(file));
-                        case lab -> Lab.read(file);
+                                                GovernorConfig.SCHEMA,
+                                                GovernorConfig.DEFINITION,
+                                                GovernorConfig.class));
+                        case day -> validateScenario(Scenario.read(file));
+                        case lab -> ExperimentRunner.read(file);
                     }
                     System.out.println(file + ": well");
-                } catch (Invalid | IllegalArgumentException e) {
+                } catch (InvalidRecordsException | IllegalArgumentException e) {
                     faults++;
                     System.out.println(e.getMessage());
                 }
@@ -127,11 +133,12 @@
 
         @Override
         public Integer call() throws Exception {
-            shown(kind, file)
+            resolveFields(kind, file)
                     .forEach(
-                            s ->
+                            field ->
                                     System.out.printf(
-                                            "%-44s %-28s %s%n", s.field(), s.value(), s.place()));
+                                            "%-44s %-28s %s%n",
+                                            field.field(), field.value(), field.position()));
             return 0;
         }
     }
@@ -155,24 +162,28 @@
 
         @Override
         public Integer call() throws Exception {
-            Map<String, Records.Shown> was = new LinkedHashMap<>();
-            shown(kind, before).forEach(s -> was.put(s.field(), s));
-            int differ = 0;
-            for (Records.Shown s : shown(kind, after)) {
-                Records.Shown old = was.remove(s.field());
-                if (old == null || !old.value().equals(s.value())) {
-                    differ++;
+            Map<String, Records.ResolvedField> previousByField = new LinkedHashMap<>();
+            resolveFields(kind, before).forEach(field -> previousByField.put(field.field(), field));
+            int differences = 0;
+            for (Records.ResolvedField field : resolveFields(kind, after)) {
+                Records.ResolvedField previous = previousByField.remove(field.field());
+                if (previous == null || !previous.value().equals(field.value())) {
+                    differences++;
                     System.out.printf(
                             "%s: %s -> %s (%s)%n",
-                            s.field(), old == null ? "none" : old.value(), s.value(), s.place());
+                            field.field(),
+                            previous == null ? "none" : previous.value(),
+                            field.value(),
+                            field.position());
                 }
             }
-            for (Records.Shown gone : was.values()) {
-                differ++;
+            for (Records.ResolvedField removed : previousByField.values()) {
+                differences++;
                 System.out.printf(
-                        "%s: %s -> none (%s)%n", gone.field(), gone.value(), gone.place());
+                        "%s: %s -> none (%s)%n",
+                        removed.field(), removed.value(), removed.position());
             }
-            return differ == 0 ? 0 : 1;
+            return differences == 0 ? 0 : 1;
         }
     }
 
@@ -180,28 +191,28 @@
             name = "fmt",
             mixinStandardHelpOptions = true,
             description = "Writes files in one look; with --check only says which differ.")
-    static final class Fmt implements Callable<Integer> {
+    static final class Reformat implements Callable<Integer> {
         @Option(names = "--check", description = "changes nothing; exit 1 if a file would change")
-        private boolean check;
+        private boolean checkOnly;
 
         @Parameters(paramLabel = "FILE", arity = "1..*")
         private Path[] files;
 
         @Override
         public Integer call() throws Exception {
-            int differ = 0;
+            int differences = 0;
             for (Path file : files) {
                 String text = Files.readString(file);
-                String anew = Format.of(file.toString(), text);
-                if (!anew.equals(text)) {
-                    differ++;
+                String formatted = RecordFormatter.format(file.toString(), text);
+                if (!formatted.equals(text)) {
+                    differences++;
                     System.out.println(file);
-                    if (!check) {
-                        Files.writeString(file, anew);
+                    if (!checkOnly) {
+                        Files.writeString(file, formatted);
                     }
                 }
             }
-            return check && differ > 0 ? 1 : 0;
+            return checkOnly && differences > 0 ? 1 : 0;
         }
     }
 }
--- a/src/main/java/sprucelanding/program/SoakCommand.java
+++ b/src/main/java/sprucelanding/cli/SoakCommand.java
@@ -1,12 +1,12 @@
-package sprucelanding.program;
+package sprucelanding.cli;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import sprucelanding.soak.Soak;
-import sprucelanding.soak.SoakPlan;
+import sprucelanding.simulation.soak.SoakPlan;
+import sprucelanding.simulation.soak.SoakRunner;
 
 /**
  * Plays random, overlapping faults over real governor processes on loopback. Exit code 1 if a rule
@@ -68,18 +68,21 @@
             throw new IllegalArgumentException(
                     "soak: runs, seconds, governors, proxies and interval must be above 0");
         }
-        boolean kept = true;
-        for (long each = seed; each < seed + runs; each++) {
+        boolean allRulesKept = true;
+        for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
             SoakPlan plan =
                     failover
-                            ? SoakPlan.failover(each, governors, proxies)
-                            : SoakPlan.random(each, seconds * 1000, governors, proxies, interval);
+                            ? SoakPlan.failover(runSeed, governors, proxies)
+                            : SoakPlan.random(
+                                    runSeed, seconds * 1000, governors, proxies, interval);
             Path folder =
-                    logs == null ? Files.createTempDirectory("soak") : logs.resolve("seed-" + each);
-            Soak.Report report = Soak.run(plan, folder);
+                    logs == null
+                            ? Files.createTempDirectory("soak")
+                            : logs.resolve("seed-" + runSeed);
+            SoakRunner.Report report = SoakRunner.run(plan, folder);
             System.out.println(report);
-            kept &= report.kept();
+            allRulesKept &= report.kept();
         }
-        return kept ? 0 : 1;
+        return allRulesKept ? 0 : 1;
     }
 }
--- a/src/main/java/sprucelanding/program/package-info.java
+++ b/src/main/java/sprucelanding/cli/package-info.java
@@ -2,4 +2,4 @@
  * The command line: what can be started, and what it is told. The adapter starts without any of the
  * libraries.
  */
-package sprucelanding.program;
+package sprucelanding.cli;
--- a/src/main/java/sprucelanding/streamed/package-info.java
+++ b/src/main/java/sprucelanding/config/configstream/package-info.java
@@ -3,4 +3,4 @@
  * refused with its reason, held until the fleet allows, or taken back. No I/O, and no reading of
  * records: the host tells what the checks found.
  */
-package sprucelanding.streamed;
+package sprucelanding.config.configstream;
--- a/src/main/java/sprucelanding/station/Station.java
+++ b/src/main/java/sprucelanding/config/governor/GovernorConfig.java
@@ -1,30 +1,30 @@
-package sprucelanding.station;
+package sprucelanding.config.governor;
 
 import java.util.List;
-import sprucelanding.records.Invalid;
-import sprucelanding.records.Records;
+import sprucelanding.config.records.InvalidRecordsException;
+import sprucelanding.config.records.Records;
 
 /**
  * What a governor is told at its start; station.cue says what each is, with its bounds. Times in
  * ms.
  */
-public record Station(
+public record GovernorConfig(
         String name,
         long seed,
         List<String> zones,
         List<String> kinds,
-        List<Ware> products,
+        List<RequestClassConfig> products,
         String admits,
-        Berth xds,
-        Calls netconf,
-        Listed roster,
-        Channel channel,
-        Streams streams,
-        Reports reports,
-        Probes probes,
-        Captured capture,
-        Peers peers) {
-    public record Ware(
+        XdsConfig xds,
+        NetconfConfig netconf,
+        DiscoveryConfig roster,
+        ChannelConfig channel,
+        StreamsConfig streams,
+        LoadReportConfig reports,
+        HealthCheckConfig probes,
+        CaptureConfig capture,
+        PeersConfig peers) {
+    public record RequestClassConfig(
             String name,
             String retry,
             double sla,
@@ -33,9 +33,9 @@
             List<String> zones,
             boolean homeOnly) {}
 
-    public record Berth(String at, int largest) {}
+    public record XdsConfig(String at, int largest) {}
 
-    public record Calls(
+    public record NetconfConfig(
             String at,
             String key,
             String devices,
@@ -46,7 +46,7 @@
             double locks,
             int atOnce) {}
 
-    public record Listed(
+    public record DiscoveryConfig(
             String at,
             String from,
             boolean pushed,
@@ -55,7 +55,7 @@
             double warmAfter,
             String keep) {}
 
-    public record Channel(
+    public record ChannelConfig(
             double lines,
             double head,
             double most,
@@ -65,34 +65,35 @@
             double patience,
             double grace) {}
 
-    public record Streams(int atOnce, int most, double turn) {}
+    public record StreamsConfig(int atOnce, int most, double turn) {}
 
-    public record Reports(double every, double lines) {}
+    public record LoadReportConfig(double every, double lines) {}
 
-    public record Probes(boolean allowed, double timeout) {}
+    public record HealthCheckConfig(boolean allowed, double timeout) {}
 
-    public record Captured(String file, int most, int waits) {}
+    public record CaptureConfig(String file, int most, int waits) {}
 
-    public record Peers(
+    public record PeersConfig(
             int number,
             String zone,
             String at,
-            List<Peer> others,
+            List<PeerConfig> others,
             String key,
             String keep,
             double lease,
             int room,
             boolean hints) {}
 
-    public record Peer(int number, String at) {}
+    public record PeerConfig(int number, String at) {}
 
     /**
      * Reads a station's text with another laid over it, whose fields take the place of its own;
      * null for none.
      */
-    public static Station parse(String name, String text, String overName, String over)
-            throws Invalid {
-        return Records.parse(name, text, overName, over, SCHEMA, DEFINITION, Station.class);
+    public static GovernorConfig parse(String name, String text, String overlayName, String overlay)
+            throws InvalidRecordsException {
+        return Records.parse(
+                name, text, overlayName, overlay, SCHEMA, DEFINITION, GovernorConfig.class);
     }
 
     /** The record's file must meet this definition. */
--- a/src/main/java/sprucelanding/station/package-info.java
+++ b/src/main/java/sprucelanding/config/governor/package-info.java
@@ -1,2 +1,2 @@
 /** What a governor is told at its start, checked, and the parts without sockets that come of it. */
-package sprucelanding.station;
+package sprucelanding.config.governor;
--- a/src/main/java/sprucelanding/records/Place.java
+++ b/src/main/java/sprucelanding/config/records/SourcePosition.java
@@ -1,7 +1,7 @@
-package sprucelanding.records;
+package sprucelanding.config.records;
 
 /** Where something stands. */
-record Place(String file, int line, int column) {
+record SourcePosition(String file, int line, int column) {
     @Override
     public String toString() {
         return file + ":" + line + ":" + column;
--- a/src/main/java/sprucelanding/records/package-info.java
+++ b/src/main/java/sprucelanding/config/records/package-info.java
@@ -3,4 +3,4 @@
  * with the definitions that they must meet, and bound to plain Java records. Errors name file,
  * line, column and field, several at a time.
  */
-package sprucelanding.records;
+package sprucelanding.config.records;
--- a/src/main/java/sprucelanding/decision/BindBudget.java
+++ b/src/main/java/sprucelanding/control/decision/BindBudget.java
@@ -1,4 +1,4 @@
-package sprucelanding.decision;
+package sprucelanding.control.decision;
 
 import java.util.Arrays;
 
@@ -19,10 +19,10 @@
      * Part of the channel that removals, which have deadlines of their own, and levels may need
      * meanwhile.
      */
-    private static final double RESERVED = 0.35;
+    private static final double RESERVED_SHARE = 0.35;
 
     private final double linesPerMs;
-    private final double transit;
+    private final double maxTransitTime;
 
     /**
      * Creates a budget for a channel.
@@ -31,8 +31,8 @@
      * @param transit ms that a message takes at most from leaving the channel until it is applied
      */
     public BindBudget(double linesPerMs, double transit) {
-        this.linesPerMs = linesPerMs * (1 - RESERVED);
-        this.transit = transit;
+        this.linesPerMs = linesPerMs * (1 - RESERVED_SHARE);
+        this.maxTransitTime = transit;
     }
 
     /**
@@ -51,7 +51,7 @@
             double now, double[] deadlines, int expected, double expectedBy, double waiting) {
         double[] sorted =
                 Arrays.stream(deadlines)
-                        .filter(d -> d < Double.POSITIVE_INFINITY && d > now + transit)
+                        .filter(d -> d < Double.POSITIVE_INFINITY && d > now + maxTransitTime)
                         .sorted()
                         .toArray();
         if (sorted.length == 0) {
@@ -59,14 +59,16 @@
         }
         double least = UNLIMITED;
         for (int i = 0; i < sorted.length; i++) {
-            least = Math.min(least, room(now, sorted[i], waiting) / (i + 1));
+            least = Math.min(least, deliverableLines(now, sorted[i], waiting) / (i + 1));
         }
         return expected == 0
                 ? least
-                : Math.min(least, room(now, expectedBy, waiting) / (sorted.length + expected));
+                : Math.min(
+                        least,
+                        deliverableLines(now, expectedBy, waiting) / (sorted.length + expected));
     }
 
-    private double room(double now, double deadline, double waiting) {
-        return Math.max(0, deadline - now - transit) * linesPerMs - waiting;
+    private double deliverableLines(double now, double deadline, double waiting) {
+        return Math.max(0, deadline - now - maxTransitTime) * linesPerMs - waiting;
     }
 }
--- a/src/main/java/sprucelanding/decision/BootClock.java
+++ b/src/main/java/sprucelanding/control/decision/BootClock.java
@@ -1,4 +1,4 @@
-package sprucelanding.decision;
+package sprucelanding.control.decision;
 
 /**
  * Turns the wall-clock times at which endpoints started into times of the caller's clock.
@@ -21,7 +21,7 @@
     static final double TOLERANCE = 1000;
 
     /** Within that time, ms, discovery tells of a start on a watch that is up. */
-    static final double LONGEST_NOTICE = 30_000;
+    static final double MAX_NOTICE_DELAY = 30_000;
 
     /** How far the caller's clock is ahead of the wall clock of the starts, ms. */
     private double error;
@@ -40,7 +40,7 @@
             return false;
         }
         double age = now - localTime(bootMillis);
-        boolean impossible = age < -TOLERANCE || seenStarting && age > LONGEST_NOTICE;
+        boolean impossible = age < -TOLERANCE || seenStarting && age > MAX_NOTICE_DELAY;
         if (impossible) {
             error = now - bootMillis;
         }
--- a/src/main/java/sprucelanding/decision/DrainTracker.java
+++ b/src/main/java/sprucelanding/control/decision/DrainTracker.java
@@ -1,4 +1,4 @@
-package sprucelanding.decision;
+package sprucelanding.control.decision;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -77,7 +77,7 @@
         final double removedAt;
 
         /** Last message that told all unbound proxies to shut it out. */
-        long shutOutIn = NOT_ORDERED;
+        long ejectedIn = NOT_ORDERED;
 
         RemovedEndpoint(double removedAt) {
             this.removedAt = removedAt;
@@ -160,10 +160,10 @@
      * That message shuts the endpoint out of every table that joined proxies hold, whoever wrote
      * it.
      */
-    public void shutOut(long endpoint, long message) {
+    public void ejectedEverywhere(long endpoint, long message) {
         RemovedEndpoint gone = removed.get(endpoint);
         if (gone != null) {
-            gone.shutOutIn = message;
+            gone.ejectedIn = message;
             proxies.keySet().forEach(proxy -> removalOrdered(proxy, endpoint, message));
         }
     }
@@ -171,7 +171,7 @@
     /**
      * That message completes a set of new tables: none that the proxy held before is used after it.
      */
-    public void boundBy(int proxy, long message) {
+    public void tablesCompleted(int proxy, long message) {
         ProxyState state = proxies.get(proxy);
         if (state != null) {
             state.boundIn = state.bound ? state.boundIn : message;
@@ -203,7 +203,7 @@
         if (forgotten) {
             return state.joinedAt + grace;
         }
-        RemovedEndpoint first = firstNotShutOut(state);
+        RemovedEndpoint first = firstNotEjected(state);
         return first == null ? Double.POSITIVE_INFINITY : deadline(state, first);
     }
 
@@ -257,11 +257,11 @@
         }
         for (Map.Entry<Long, RemovedEndpoint> entry : removed.entrySet()) {
             RemovedEndpoint gone = entry.getValue();
-            boolean settled = shutOutFor(state, gone) && gone.shutOutIn <= state.acknowledged;
+            boolean settled = isEjectedFor(state, gone) && gone.ejectedIn <= state.acknowledged;
             if (!settled && deadline(state, gone) < now) {
                 state.reported = true;
                 overdue++;
-                boolean ordered = state.boundIn != NOT_ORDERED || shutOutFor(state, gone);
+                boolean ordered = state.boundIn != NOT_ORDERED || isEjectedFor(state, gone);
                 report.accept(
                         new Overdue(
                                 proxy,
@@ -278,17 +278,17 @@
         return overdue;
     }
 
-    private RemovedEndpoint firstNotShutOut(ProxyState state) {
+    private RemovedEndpoint firstNotEjected(ProxyState state) {
         for (RemovedEndpoint gone : removed.values()) {
-            if (!shutOutFor(state, gone)) {
+            if (!isEjectedFor(state, gone)) {
                 return gone;
             }
         }
         return null;
     }
 
-    private static boolean shutOutFor(ProxyState state, RemovedEndpoint gone) {
-        return gone.shutOutIn != NOT_ORDERED && gone.shutOutIn >= state.firstMessage;
+    private static boolean isEjectedFor(ProxyState state, RemovedEndpoint gone) {
+        return gone.ejectedIn != NOT_ORDERED && gone.ejectedIn >= state.firstMessage;
     }
 
     private double deadline(ProxyState state, RemovedEndpoint gone) {
--- a/src/main/java/sprucelanding/Product.java
+++ b/src/main/java/sprucelanding/control/decision/RequestClass.java
@@ -1,18 +1,18 @@
-package sprucelanding;
+package sprucelanding.control.decision;
 
 import java.util.BitSet;
 
 /** A product that clients ask for, as stated at the start, and what is known of its demand. */
-public final class Product {
+public final class RequestClass {
     public final int index;
 
     /** May run twice without harm. */
-    final boolean inquiryLike;
+    final boolean idempotent;
 
     final double revenue;
 
     /** SLA time, ms. */
-    final double slaTime;
+    final double latencyObjective;
 
     /** Machine kinds and zones open to it; none named means all. */
     final BitSet kinds;
@@ -20,18 +20,18 @@
     final BitSet zones;
 
     /** Only replicas of the proxy's own zone may take it. */
-    final boolean homeOnly;
+    final boolean ownZoneOnly;
 
     /** Share of it that is let in. */
-    double level = 1;
+    double admittedShare = 1;
 
     /** The same as txns a second at each proxy. */
-    double rate;
+    double admittedRate;
 
     /** Txns a second that came to the joined proxies, smoothed. */
     double demand;
 
-    public Product(
+    public RequestClass(
             int index,
             boolean inquiryLike,
             double revenue,
@@ -40,11 +40,11 @@
             BitSet zones,
             boolean homeOnly) {
         this.index = index;
-        this.inquiryLike = inquiryLike;
+        this.idempotent = inquiryLike;
         this.revenue = revenue;
-        this.slaTime = slaTime;
+        this.latencyObjective = slaTime;
         this.kinds = kinds;
         this.zones = zones;
-        this.homeOnly = homeOnly;
+        this.ownZoneOnly = homeOnly;
     }
 }
--- a/src/main/java/sprucelanding/Sent.java
+++ b/src/main/java/sprucelanding/control/decision/SentBatch.java
@@ -1,17 +1,17 @@
-package sprucelanding;
+package sprucelanding.control.decision;
 
 import java.util.Map;
 
 /** One moment's messages, and what their receipts show to have left the channel. */
-final class Sent {
+final class SentBatch {
     /** Lines booked before this moment. */
-    final double before;
+    final double bookedBefore;
 
     private final double lines;
     private final double messages;
 
     /** By the number of its proxy, the lines of each message that is not confirmed yet. */
-    private final Map<Integer, Double> unconfirmed;
+    private final Map<Integer, Double> unconfirmedByProxy;
 
     private double confirmed;
 
@@ -23,9 +23,9 @@
      *     now on
      * @param messages how many of them were written
      */
-    Sent(double before, Map<Integer, Double> byProxy, double messages) {
-        this.before = before;
-        this.unconfirmed = byProxy;
+    SentBatch(double before, Map<Integer, Double> byProxy, double messages) {
+        this.bookedBefore = before;
+        this.unconfirmedByProxy = byProxy;
         this.messages = messages;
         lines = byProxy.values().stream().mapToDouble(each -> each).sum();
     }
@@ -40,12 +40,12 @@
      * larger than the others, a share of all would show lines to have left that wait behind it.
      */
     void confirm(int proxy) {
-        Double own = unconfirmed.remove(proxy);
+        Double own = unconfirmedByProxy.remove(proxy);
         confirmed += own == null ? 0 : own;
     }
 
     /** Lines that have left for certain: all before it, and its own that are confirmed. */
-    double left() {
-        return before + confirmed;
+    double delivered() {
+        return bookedBefore + confirmed;
     }
 }
--- a/src/main/java/sprucelanding/StarterTables.java
+++ b/src/main/java/sprucelanding/control/decision/StarterTables.java
@@ -1,4 +1,4 @@
-package sprucelanding;
+package sprucelanding.control.decision;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -26,37 +26,37 @@
      * Lines of the smallest starter table: with fewer, the loss of a single endpoint would hit a
      * proxy too hard.
      */
-    static final int LEAST_LINES = 4;
+    static final int MIN_LINES = 4;
 
     /** Starter tables that hold the same endpoint, so that no endpoint depends on a few proxies. */
     private static final int TABLES_PER_ENDPOINT = 2;
 
     /** A set is dealt smaller than it may be, so that it serves on while the budget shrinks. */
-    private static final double MARGIN = 0.75;
+    private static final double SIZE_MARGIN = 0.75;
 
     /** A set that is smaller than that part of the budget is not worth keeping. */
-    private static final double LEAST_USE = 0.35;
+    private static final double MIN_BUDGET_USE = 0.35;
 
     /**
      * Weights are shuffled by up to that part before they are dealt, so that sets dealt later
      * differ.
      */
-    private static final double SHUFFLE = 0.2;
+    private static final double WEIGHT_JITTER = 0.2;
 
-    private final Map<Table, List<Table>> current = new HashMap<>();
+    private final Map<RoutingTable, List<RoutingTable>> tablesByFullTable = new HashMap<>();
     private final Set<Proxy> users = new LinkedHashSet<>();
-    private final Set<Table> fresh = new LinkedHashSet<>();
-    private final Set<Table> newest = new HashSet<>();
-    private int lines;
+    private final Set<RoutingTable> notSent = new LinkedHashSet<>();
+    private final Set<RoutingTable> currentTables = new HashSet<>();
+    private int tableSize;
 
     /**
      * Whether the set at hand is of a size that is well used by that many lines and does not exceed
      * them.
      */
-    boolean suits(int most) {
-        return !current.isEmpty()
-                && lines <= Math.max(most, LEAST_LINES)
-                && lines >= LEAST_USE * most;
+    boolean fitsBudget(int most) {
+        return !tablesByFullTable.isEmpty()
+                && tableSize <= Math.max(most, MIN_LINES)
+                && tableSize >= MIN_BUDGET_USE * most;
     }
 
     /**
@@ -68,67 +68,67 @@
      * @param create makes an empty table that is cut from the given one
      * @param want the weight that a line is to have; 0 leaves it out
      */
-    void deal(
-            List<Table> wide,
+    void allocate(
+            List<RoutingTable> wide,
             int most,
-            Function<Table, Table> create,
-            ToDoubleFunction<Table.Row> want,
+            Function<RoutingTable, RoutingTable> create,
+            ToDoubleFunction<RoutingTable.TableEntry> want,
             SplittableRandom chance) {
-        lines = (int) Math.max(LEAST_LINES, MARGIN * most);
-        current.clear();
-        newest.clear();
-        for (Table table : wide) {
-            List<Table.Row> rows = new ArrayList<>();
-            Map<Table.Row, Double> order = new HashMap<>();
-            for (Table.Row row : table.rows.values()) {
-                if (want.applyAsDouble(row) > 0) {
-                    rows.add(row);
-                    order.put(row, -row.weight * (1 + SHUFFLE * chance.nextDouble()));
+        tableSize = (int) Math.max(MIN_LINES, SIZE_MARGIN * most);
+        tablesByFullTable.clear();
+        currentTables.clear();
+        for (RoutingTable table : wide) {
+            List<RoutingTable.TableEntry> rows = new ArrayList<>();
+            Map<RoutingTable.TableEntry, Double> order = new HashMap<>();
+            for (RoutingTable.TableEntry entry : table.entries.values()) {
+                if (want.applyAsDouble(entry) > 0) {
+                    rows.add(entry);
+                    order.put(entry, -entry.weight * (1 + WEIGHT_JITTER * chance.nextDouble()));
                 }
             }
             rows.sort(Comparator.comparingDouble(order::get));
-            current.put(table, deal(table, rows, create, chance));
+            tablesByFullTable.put(table, allocate(table, rows, create, chance));
         }
     }
 
-    private List<Table> deal(
-            Table table,
-            List<Table.Row> rows,
-            Function<Table, Table> create,
+    private List<RoutingTable> allocate(
+            RoutingTable table,
+            List<RoutingTable.TableEntry> rows,
+            Function<RoutingTable, RoutingTable> create,
             SplittableRandom chance) {
-        int count = (int) Math.ceil((double) TABLES_PER_ENDPOINT * rows.size() / lines);
-        List<Table> set = new ArrayList<>();
+        int count = (int) Math.ceil((double) TABLES_PER_ENDPOINT * rows.size() / tableSize);
+        List<RoutingTable> set = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             set.add(create.apply(table));
         }
         for (int pass = 0; pass < TABLES_PER_ENDPOINT && count > 0; pass++) {
             int shift = chance.nextInt(count);
             for (int i = 0; i < rows.size(); i++) {
-                set.get((i + shift) % count).takes(rows.get(i).replica);
+                set.get((i + shift) % count).addFromFullTable(rows.get(i).endpoint);
             }
         }
-        fresh.addAll(set);
-        newest.addAll(set);
+        notSent.addAll(set);
+        currentTables.addAll(set);
         return set;
     }
 
     /** Puts a proxy on the tables of the newest set that have the least traffic. */
     void assign(Proxy proxy) {
-        withdraw(proxy);
-        current.forEach(
+        removeUser(proxy);
+        tablesByFullTable.forEach(
                 (table, set) -> {
-                    if (proxy.concerns(table)) {
+                    if (proxy.usesTable(table)) {
                         set.stream()
-                                .min(Comparator.comparingDouble(each -> each.assigned))
+                                .min(Comparator.comparingDouble(each -> each.assignedDemand))
                                 .ifPresent(
                                         least -> {
-                                            least.assigned += proxy.usual + 1;
+                                            least.assignedDemand += proxy.baselineDemand + 1;
                                             least.assignedProxies++;
-                                            proxy.starters.put(table, least);
+                                            proxy.starterTables.put(table, least);
                                         });
                     }
                 });
-        if (!proxy.starters.isEmpty()) {
+        if (!proxy.starterTables.isEmpty()) {
             users.add(proxy);
         }
     }
@@ -138,27 +138,27 @@
      * sets are given up.
      */
     void release(Proxy proxy) {
-        if (withdraw(proxy) && users.isEmpty()) {
-            retire();
+        if (removeUser(proxy) && users.isEmpty()) {
+            discardTables();
         }
     }
 
-    private boolean withdraw(Proxy proxy) {
+    private boolean removeUser(Proxy proxy) {
         if (!users.remove(proxy)) {
             return false;
         }
-        for (Table table : proxy.starters.values()) {
-            table.assigned -= proxy.usual + 1;
+        for (RoutingTable table : proxy.starterTables.values()) {
+            table.assignedDemand -= proxy.baselineDemand + 1;
             table.assignedProxies--;
         }
-        proxy.starters.clear();
+        proxy.starterTables.clear();
         return true;
     }
 
-    private void retire() {
-        current.clear();
-        newest.clear();
-        fresh.clear();
+    private void discardTables() {
+        tablesByFullTable.clear();
+        currentTables.clear();
+        notSent.clear();
     }
 
     /** Proxies that go by starter tables, those first that have for longest. */
@@ -167,22 +167,22 @@
     }
 
     /** Tables that have been dealt and not been laid out yet. */
-    Set<Table> fresh() {
-        return fresh;
+    Set<RoutingTable> notSent() {
+        return notSent;
     }
 
     /** Tables in use or of the newest set. */
-    boolean keeps(Table table) {
-        return table.assignedProxies > 0 || newest.contains(table);
+    boolean isInUse(RoutingTable table) {
+        return table.assignedProxies > 0 || currentTables.contains(table);
     }
 
     /** Releases those whose starter table has no line left. */
-    void releaseFrom(Function<Table, Boolean> dead) {
-        Set<Table> seen = new HashSet<>();
+    void releaseUsersOf(Function<RoutingTable, Boolean> dead) {
+        Set<RoutingTable> seen = new HashSet<>();
         List<Proxy> released = new ArrayList<>();
-        Set<Table> gone = new HashSet<>();
+        Set<RoutingTable> gone = new HashSet<>();
         for (Proxy proxy : users) {
-            for (Table table : proxy.starters.values()) {
+            for (RoutingTable table : proxy.starterTables.values()) {
                 if (seen.add(table) && dead.apply(table)) {
                     gone.add(table);
                 }
@@ -194,7 +194,7 @@
         released.forEach(this::release);
     }
 
-    int lines() {
-        return lines;
+    int tableSize() {
+        return tableSize;
     }
 }
--- a/src/main/java/sprucelanding/decision/package-info.java
+++ b/src/main/java/sprucelanding/control/decision/package-info.java
@@ -4,4 +4,4 @@
  * by the identifier that the caller uses for them. Times are milliseconds on the caller's monotonic
  * clock.
  */
-package sprucelanding.decision;
+package sprucelanding.control.decision;
--- a/src/main/java/sprucelanding/delivery/Holder.java
+++ b/src/main/java/sprucelanding/control/delivery/ProxyStream.java
@@ -1,4 +1,4 @@
-package sprucelanding.delivery;
+package sprucelanding.control.delivery;
 
 import java.util.ArrayDeque;
 import java.util.EnumMap;
@@ -13,62 +13,63 @@
  * One proxy's stream: what the proxy is known to hold, what is under way to it, and what it is
  * still owed.
  */
-public final class Holder {
-    public final int id;
+public final class ProxyStream {
+    public final int proxyId;
 
     /** It takes changes; else the whole state of a kind each time. */
-    public final boolean deltas;
+    public final boolean incremental;
 
     /** It takes changes of all kinds in one edit. */
-    final boolean edits;
+    final boolean transactional;
 
     /** What the front needs to reach it. */
-    public final Object stream;
+    public final Object transport;
 
     /** Versions acknowledged, or told by the proxy when it dialled. */
-    final Map<Name, String> held = new HashMap<>();
+    final Map<ResourceName, String> acknowledgedVersions = new HashMap<>();
 
     /** What it refused: never sent again in the same version. */
-    final Map<Name, String> refused = new HashMap<>();
+    final Map<ResourceName, String> rejectedVersions = new HashMap<>();
 
     /** Names to look at again, with the stamp of the oldest order that touched each. */
-    final Map<Kind, LinkedHashMap<Name, Long>> owed = new EnumMap<>(Kind.class);
+    final Map<ResourceType, LinkedHashMap<ResourceName, Long>> pendingByType =
+            new EnumMap<>(ResourceType.class);
 
-    final TreeMap<Long, Message> open = new TreeMap<>();
+    final TreeMap<Long, ResourceUpdate> unansweredUpdates = new TreeMap<>();
 
     /** By product, the table it was put on. */
-    final TreeMap<Integer, Integer> binding = new TreeMap<>();
+    final TreeMap<Integer, Integer> tableByClass = new TreeMap<>();
 
     /**
      * Tables whose endpoints, and whose lines, it asked for; and whether it asked for clusters and
      * the route.
      */
-    final Set<Integer> endpoints = new TreeSet<>();
+    final Set<Integer> subscribedEndpointTables = new TreeSet<>();
 
-    final Set<Integer> lines = new TreeSet<>();
-    boolean clusters;
-    boolean route;
+    final Set<Integer> subscribedEntryTables = new TreeSet<>();
+    boolean subscribedToClusters;
+    boolean subscribedToRoute;
 
     /** Receipts asked for: serial and the stamp up to which all must be settled. */
-    final ArrayDeque<long[]> receipts = new ArrayDeque<>();
+    final ArrayDeque<long[]> acknowledgementRequests = new ArrayDeque<>();
 
     /** When messages were sent, oldest first. */
-    final ArrayDeque<Double> sent = new ArrayDeque<>();
+    final ArrayDeque<Double> sendTimes = new ArrayDeque<>();
 
     /** It drains lines that must go before anything else. */
     boolean urgent;
 
     boolean behind;
-    boolean joined;
-    boolean gone;
+    boolean admitted;
+    boolean closed;
 
     /** After a refusal, at most so many names go in one message until one gets through. */
-    int atMost = Integer.MAX_VALUE;
+    int maxNamesPerUpdate = Integer.MAX_VALUE;
 
     private volatile Lease lease = new Lease(Double.POSITIVE_INFINITY, 0);
 
     /** How a proxy takes what it is sent. */
-    public enum Form {
+    public enum UpdateMode {
         /** Changes, kind by kind. */
         CHANGES,
         /** The whole state of a kind each time. */
@@ -77,13 +78,13 @@
         EDITS
     }
 
-    public Holder(int id, Form form, Object stream) {
-        this.id = id;
-        this.deltas = form != Form.WHOLE;
-        this.edits = form == Form.EDITS;
-        this.stream = stream;
-        for (Kind kind : Kind.values()) {
-            owed.put(kind, new LinkedHashMap<>());
+    public ProxyStream(int id, UpdateMode mode, Object transport) {
+        this.proxyId = id;
+        this.incremental = mode != UpdateMode.WHOLE;
+        this.transactional = mode == UpdateMode.EDITS;
+        this.transport = transport;
+        for (ResourceType type : ResourceType.values()) {
+            pendingByType.put(type, new LinkedHashMap<>());
         }
     }
 
@@ -91,12 +92,12 @@
      * Until when this governor may write to the proxy, on its own clock, and under which epoch.
      * Without other governors nobody calls this: it may, under epoch 0.
      */
-    public void leased(double until, long epoch) {
+    public void leaseGranted(double until, long epoch) {
         lease = new Lease(until, epoch);
     }
 
     /** Nothing may be written to the proxy until a lease says so. */
-    public void withheld() {
+    public void leaseWithdrawn() {
         lease = new Lease(Double.NEGATIVE_INFINITY, lease.epoch);
     }
 
@@ -110,45 +111,46 @@
 
     /** Until when a write may leave, ms on the own clock, and under which epoch. */
     public record Lease(double until, long epoch) {
-        public boolean holds(double now) {
+        public boolean isValidAt(double now) {
             return now < until;
         }
     }
 
     /** Whether a name was acknowledged, by this version or another. */
-    public boolean holds(Name name) {
-        return held.containsKey(name);
+    public boolean hasAcknowledged(ResourceName name) {
+        return acknowledgedVersions.containsKey(name);
     }
 
-    public boolean bound() {
-        return !binding.isEmpty();
+    public boolean isBound() {
+        return !tableByClass.isEmpty();
     }
 
     /** What it acknowledged of a name, or null. */
-    public String version(Name name) {
-        return held.get(name);
+    public String acknowledgedVersion(ResourceName name) {
+        return acknowledgedVersions.get(name);
     }
 
-    boolean opened(Kind kind) {
-        return open.values().stream().anyMatch(m -> m.kind == kind);
+    boolean hasUnanswered(ResourceType type) {
+        return unansweredUpdates.values().stream().anyMatch(update -> update.type == type);
     }
 
     /** Whether a name is under way or still owed. */
-    boolean unsettled(Name name) {
-        return owed.get(name.kind()).containsKey(name)
-                || open.values().stream().anyMatch(m -> m.settles.containsKey(name));
+    boolean isUnsettled(ResourceName name) {
+        return pendingByType.get(name.type()).containsKey(name)
+                || unansweredUpdates.values().stream()
+                        .anyMatch(update -> update.orderStampByName.containsKey(name));
     }
 
     /** The oldest order that is not settled; none: the largest number there is. */
-    long oldest() {
+    long oldestUnsettledOrder() {
         long oldest = Long.MAX_VALUE;
-        for (LinkedHashMap<Name, Long> names : owed.values()) {
+        for (LinkedHashMap<ResourceName, Long> names : pendingByType.values()) {
             for (long stamp : names.values()) {
                 oldest = Math.min(oldest, stamp);
             }
         }
-        for (Message m : open.values()) {
-            for (long stamp : m.settles.values()) {
+        for (ResourceUpdate update : unansweredUpdates.values()) {
+            for (long stamp : update.orderStampByName.values()) {
                 oldest = Math.min(oldest, stamp);
             }
         }
--- a/src/main/java/sprucelanding/delivery/Kind.java
+++ b/src/main/java/sprucelanding/control/delivery/ResourceType.java
@@ -1,7 +1,7 @@
-package sprucelanding.delivery;
+package sprucelanding.control.delivery;
 
 /** Kinds of resources, in the order in which they are made; they are unmade the other way round. */
-public enum Kind {
+public enum ResourceType {
     /** A table, without its lines. */
     CLUSTER,
     /** Where a table's lines are found; on a whole-state stream, the lines themselves. */
--- a/src/main/java/sprucelanding/delivery/package-info.java
+++ b/src/main/java/sprucelanding/control/delivery/package-info.java
@@ -4,4 +4,4 @@
  * tells what happened and pulls decisions one by one until there is none. It serves every front;
  * the kinds and their order are those of xDS, make before break.
  */
-package sprucelanding.delivery;
+package sprucelanding.control.delivery;
--- a/src/main/java/sprucelanding/roster/Entry.java
+++ b/src/main/java/sprucelanding/control/discovery/ListedEndpoint.java
@@ -1,4 +1,4 @@
-package sprucelanding.roster;
+package sprucelanding.control.discovery;
 
 /**
  * One replica as listed.
@@ -7,16 +7,16 @@
  * @param kind position among the site's machine kinds
  * @param startedAt ms since 1970 of its latest start; 0 if long past
  */
-public record Entry(
+public record ListedEndpoint(
         long id,
         String host,
         int port,
         int zone,
-        int kind,
+        int machineKind,
         double weight,
         double startedAt,
-        Stage stage) {
-    public enum Stage {
+        State state) {
+    public enum State {
         READY,
         DRAINING,
         GONE
--- a/src/main/java/sprucelanding/updates/package-info.java
+++ b/src/main/java/sprucelanding/control/distribution/package-info.java
@@ -4,4 +4,4 @@
  * calls flush, which gives at most one Update for each joined proxy, with the lines that it costs
  * in the channel.
  */
-package sprucelanding.updates;
+package sprucelanding.control.distribution;
--- a/src/main/java/sprucelanding/edits/package-info.java
+++ b/src/main/java/sprucelanding/control/edits/package-info.java
@@ -4,4 +4,4 @@
  * others is waited for. No I/O and no clock of its own: the front tells what came and does what is
  * asked, one operation at a time.
  */
-package sprucelanding.edits;
+package sprucelanding.control.edits;
--- a/src/main/java/sprucelanding/intake/Report.java
+++ b/src/main/java/sprucelanding/control/loadreport/LoadReport.java
@@ -1,4 +1,4 @@
-package sprucelanding.intake;
+package sprucelanding.control.loadreport;
 
 import java.util.List;
 
@@ -8,7 +8,11 @@
  * @param span ms that it covers, as the proxy measured them
  * @param came txns by product, declined ones included
  */
-public record Report(int proxy, double span, List<Met> met, List<Long> came) {
+public record LoadReport(
+        int proxyId,
+        double spanMillis,
+        List<EndpointStats> endpointStats,
+        List<Long> requestsByClass) {
     /**
      * Tries at one replica.
      *
@@ -16,12 +20,12 @@
      * @param loads loads told in answers, summed
      * @param told how many answers told one
      */
-    public record Met(
-            long replica,
+    public record EndpointStats(
+            long endpointId,
             long issued,
-            long settled,
-            long voided,
-            double answerTime,
-            double loads,
-            long told) {}
+            long completed,
+            long failed,
+            double totalResponseMillis,
+            double loadSum,
+            long loadSamples) {}
 }
--- a/src/main/java/sprucelanding/fleet/package-info.java
+++ b/src/main/java/sprucelanding/control/membership/package-info.java
@@ -4,4 +4,4 @@
  * and leases promised by a majority, with epochs that only grow. No I/O and no clock of its own;
  * Sharing is how it is called.
  */
-package sprucelanding.fleet;
+package sprucelanding.control.membership;
--- a/src/main/java/sprucelanding/opening/package-info.java
+++ b/src/main/java/sprucelanding/control/settings/package-info.java
@@ -4,4 +4,4 @@
  * the Choice from it, and what the door needs to know. With it, what both wires share: Malformed
  * and Decimals.
  */
-package sprucelanding.opening;
+package sprucelanding.control.settings;
--- a/src/main/java/sprucelanding/netconf/package-info.java
+++ b/src/main/java/sprucelanding/front/netconf/package-info.java
@@ -3,4 +3,4 @@
  * each (RFC 6241, 6242). What is done at a device and when is decided in sprucelanding.edits; here
  * is framing, XML, and the sessions.
  */
-package sprucelanding.netconf;
+package sprucelanding.front.netconf;
--- a/src/main/java/sprucelanding/xds/XdsFront.java
+++ b/src/main/java/sprucelanding/front/xds/XdsFront.java
@@ -1,4 +1,4 @@
-package sprucelanding.xds;
+package sprucelanding.front.xds;
 
 import io.envoyproxy.envoy.service.discovery.v3.AggregatedDiscoveryServiceGrpc;
 import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryRequest;
@@ -20,29 +20,29 @@
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sprucelanding.delivery.Holder;
-import sprucelanding.delivery.Item;
-import sprucelanding.delivery.Message;
-import sprucelanding.governor.Core;
-import sprucelanding.governor.Front;
-import sprucelanding.governor.Site;
-import sprucelanding.loop.Loop;
+import sprucelanding.control.delivery.ProxyStream;
+import sprucelanding.control.delivery.ResourceUpdate;
+import sprucelanding.control.delivery.RoutingResource;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.governor.CoreHandle;
+import sprucelanding.runtime.governor.Front;
+import sprucelanding.runtime.governor.ResourceNaming;
 
 /** Serves proxies that speak xDS. Open it, give it to the governor, then start it. */
 public final class XdsFront implements Front {
     private static final Logger LOG = LoggerFactory.getLogger(XdsFront.class);
-    private static final int WRITERS = 2;
-    private static final int WRITES = 65_536;
-    private static final int WINDOW = 256 * 1024;
+    private static final int WRITER_THREADS = 2;
+    private static final int MAX_PENDING_WRITES = 65_536;
+    private static final int FLOW_CONTROL_WINDOW_BYTES = 256 * 1024;
 
-    private final Core core;
-    private final Site site;
+    private final CoreHandle core;
+    private final ResourceNaming naming;
     private final String identifier;
-    private final InetSocketAddress at;
+    private final InetSocketAddress bindAddress;
     private final Server server;
-    private final NioEventLoopGroup accepting = new NioEventLoopGroup(1);
-    private final NioEventLoopGroup serving = new NioEventLoopGroup(2);
-    private final Writer[] writers = new Writer[WRITERS];
+    private final NioEventLoopGroup acceptGroup = new NioEventLoopGroup(1);
+    private final NioEventLoopGroup workerGroup = new NioEventLoopGroup(2);
+    private final Writer[] writers = new Writer[WRITER_THREADS];
     private volatile boolean closed;
 
     /**
@@ -51,33 +51,33 @@
      * @param reports ms between load reports
      */
     public XdsFront(
-            Core core,
-            Site site,
+            CoreHandle core,
+            ResourceNaming naming,
             String identifier,
-            InetSocketAddress at,
-            int largest,
-            double reports) {
+            InetSocketAddress bindAddress,
+            int maxMessageBytes,
+            double reportIntervalMillis) {
         this.core = core;
-        this.site = site;
+        this.naming = naming;
         this.identifier = identifier;
-        this.at = at;
+        this.bindAddress = bindAddress;
         this.server =
-                NettyServerBuilder.forAddress(at)
-                        .bossEventLoopGroup(accepting)
-                        .workerEventLoopGroup(serving)
+                NettyServerBuilder.forAddress(bindAddress)
+                        .bossEventLoopGroup(acceptGroup)
+                        .workerEventLoopGroup(workerGroup)
                         .channelType(NioServerSocketChannel.class)
                         .directExecutor()
-                        .maxInboundMessageSize(largest)
-                        .flowControlWindow(WINDOW)
+                        .maxInboundMessageSize(maxMessageBytes)
+                        .flowControlWindow(FLOW_CONTROL_WINDOW_BYTES)
                         .keepAliveTime(5, TimeUnit.SECONDS)
                         .keepAliveTimeout(5, TimeUnit.SECONDS)
                         .permitKeepAliveTime(1, TimeUnit.SECONDS)
                         .maxConcurrentCallsPerConnection(8)
-                        .addService(new Discovery())
-                        .addService(new Loads(this, site, reports))
+                        .addService(new DiscoveryService())
+                        .addService(new LoadReportingService(this, naming, reportIntervalMillis))
                         .build();
-        for (int i = 0; i < WRITERS; i++) {
-            writers[i] = new Writer("xds-writer-" + i);
+        for (int resourceToEncode = 0; resourceToEncode < WRITER_THREADS; resourceToEncode++) {
+            writers[resourceToEncode] = new Writer("xds-writer-" + resourceToEncode);
         }
     }
 
@@ -86,7 +86,7 @@
      * messages keep their order.
      */
     private final class Writer implements Runnable {
-        final ArrayBlockingQueue<Runnable> writes = new ArrayBlockingQueue<>(WRITES);
+        final ArrayBlockingQueue<Runnable> tasks = new ArrayBlockingQueue<>(MAX_PENDING_WRITES);
         final Thread thread;
 
         Writer(String name) {
@@ -98,7 +98,7 @@
         public void run() {
             while (!closed) {
                 try {
-                    Runnable next = writes.poll(1, TimeUnit.SECONDS);
+                    Runnable next = tasks.poll(1, TimeUnit.SECONDS);
                     if (next != null) {
                         next.run();
                     }
@@ -111,12 +111,12 @@
         }
     }
 
-    private final class Discovery
+    private final class DiscoveryService
             extends AggregatedDiscoveryServiceGrpc.AggregatedDiscoveryServiceImplBase {
         @Override
         public StreamObserver<DiscoveryRequest> streamAggregatedResources(
                 StreamObserver<DiscoveryResponse> out) {
-            return new StateStream(XdsFront.this, out);
+            return new StateOfTheWorldStream(XdsFront.this, out);
         }
 
         @Override
@@ -128,13 +128,13 @@
 
     /** Throws IOException if it cannot listen. */
     public void start() throws IOException {
-        for (Writer each : writers) {
-            each.thread.start();
+        for (Writer writer : writers) {
+            writer.thread.start();
         }
         server.start();
         LOG.atInfo()
                 .setMessage("xds is served")
-                .addKeyValue("at", at)
+                .addKeyValue("at", bindAddress)
                 .addKeyValue("port", port())
                 .log();
     }
@@ -148,56 +148,60 @@
         return "xds";
     }
 
-    Core core() {
+    CoreHandle core() {
         return core;
     }
 
     /** Proxies on one table hold the same lines: each is put into words once. */
-    static Resource resource(Item item, boolean deltas, Site site) {
-        return item.words(
-                deltas ? 0 : 1,
-                i ->
+    static Resource encodedResource(
+            RoutingResource resource, boolean incremental, ResourceNaming naming) {
+        return resource.encoded(
+                incremental ? 0 : 1,
+                resourceToEncode ->
                         Resource.newBuilder()
-                                .setName(Words.name(i.name()))
-                                .setVersion(i.version())
-                                .setResource(Words.resource(i, deltas, site))
+                                .setName(ResourceEncoder.resourceName(resourceToEncode.name()))
+                                .setVersion(resourceToEncode.version())
+                                .setResource(
+                                        ResourceEncoder.encode(
+                                                resourceToEncode, incremental, naming))
                                 .build());
     }
 
     @Override
-    public void send(Message message, Site site) {
-        Stream<?, ?> stream = (Stream<?, ?>) message.to.stream;
-        boolean taken = write(message.to.id, () -> stream.write(message, site));
-        if (!taken) { // it cannot be left out: the proxy dials again and is laid from what it holds
+    public void send(ResourceUpdate update, ResourceNaming naming) {
+        DiscoveryStream<?, ?> stream = (DiscoveryStream<?, ?>) update.stream.transport;
+        boolean accepted = submitWrite(update.stream.proxyId, () -> stream.enqueue(update, naming));
+        if (!accepted) { // it cannot be left out: the proxy dials again and is laid from what it
+            // holds
             LOG.atWarn()
                     .setMessage("too many messages wait to be written")
-                    .addKeyValue("proxy", message.to.id)
+                    .addKeyValue("proxy", update.stream.proxyId)
                     .log();
-            core.left(message.to);
+            core.proxyDisconnected(update.stream);
         }
     }
 
     @Override
-    public void end(Holder holder, boolean busy, String why) {
-        ((Stream<?, ?>) holder.stream)
-                .end((busy ? Status.UNAVAILABLE : Status.ABORTED).withDescription(why));
+    public void endStream(ProxyStream proxyStream, boolean busy, String reason) {
+        ((DiscoveryStream<?, ?>) proxyStream.transport)
+                .terminate((busy ? Status.UNAVAILABLE : Status.ABORTED).withDescription(reason));
     }
 
-    void written(Message message, long bytes) {
-        core.written(this, message, Loop.now(), bytes);
+    void updateWritten(ResourceUpdate update, long bytes) {
+        core.updateWritten(this, update, EventLoop.nowMillis(), bytes);
     }
 
-    void lapsed(Message message) {
+    void leaseExpired(ResourceUpdate update) {
         LOG.atWarn()
                 .setMessage("a message is not written: the lease has run out")
-                .addKeyValue("proxy", message.to.id)
-                .addKeyValue("epoch", message.to.lease().epoch())
-                .addKeyValue("age", Loop.now() - message.sentAt)
+                .addKeyValue("proxy", update.stream.proxyId)
+                .addKeyValue("epoch", update.stream.lease().epoch())
+                .addKeyValue("age", EventLoop.nowMillis() - update.sentAt)
                 .log();
     }
 
-    Site site() {
-        return site;
+    ResourceNaming naming() {
+        return naming;
     }
 
     /**
@@ -208,10 +212,10 @@
         return epoch == 0 ? identifier : identifier + "#" + epoch;
     }
 
-    void refused(Holder holder, Status status) {
+    void streamRejected(ProxyStream proxyStream, Status status) {
         LOG.atWarn()
                 .setMessage("a stream is refused")
-                .addKeyValue("proxy", holder == null ? -1 : holder.id)
+                .addKeyValue("proxy", proxyStream == null ? -1 : proxyStream.proxyId)
                 .addKeyValue("code", status.getCode())
                 .addKeyValue("why", status.getDescription())
                 .setCause(status.getCause())
@@ -219,13 +223,13 @@
     }
 
     /** False if too much waits to be written. */
-    boolean write(int stream, Runnable what) {
-        return writers[stream % WRITERS].writes.offer(what);
+    boolean submitWrite(int proxyId, Runnable task) {
+        return writers[proxyId % WRITER_THREADS].tasks.offer(task);
     }
 
     /** Asks the core until it takes it. This holds up the transport's thread, never the core. */
-    void insist(BooleanSupplier tell) {
-        while (!tell.getAsBoolean() && !closed) {
+    void retryUntilAccepted(BooleanSupplier notification) {
+        while (!notification.getAsBoolean() && !closed) {
             LockSupport.parkNanos(1_000_000);
         }
     }
@@ -234,10 +238,10 @@
     public void close() {
         closed = true;
         server.shutdownNow();
-        for (Writer each : writers) {
-            each.thread.interrupt();
+        for (Writer writer : writers) {
+            writer.thread.interrupt();
         }
-        accepting.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-        serving.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        acceptGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        workerGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 }
--- a/src/main/java/sprucelanding/xds/package-info.java
+++ b/src/main/java/sprucelanding/front/xds/package-info.java
@@ -4,4 +4,4 @@
  * initial_resource_versions, wildcard). Messages come from the published API. Streams are read in
  * the transport's threads, answers are written by one thread of the front.
  */
-package sprucelanding.xds;
+package sprucelanding.front.xds;
--- a/src/main/java/sprucelanding/markup/Elem.java
+++ b/src/main/java/sprucelanding/front/xml/XmlElement.java
@@ -1,4 +1,4 @@
-package sprucelanding.markup;
+package sprucelanding.front.xml;
 
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -15,9 +15,9 @@
  * An XML element, read without document types and external entities, within bounds of depth and
  * number.
  */
-public final class Elem {
-    private static final int DEPTH = 32;
-    private static final int MOST = 100_000;
+public final class XmlElement {
+    private static final int MAX_DEPTH = 32;
+    private static final int MAX_ELEMENTS = 100_000;
     private static final XMLInputFactory FACTORY = XMLInputFactory.newDefaultFactory();
 
     static {
@@ -34,45 +34,51 @@
     /** By local name. */
     public final Map<String, String> attributes = new LinkedHashMap<>();
 
-    public final List<Elem> children = new ArrayList<>();
+    public final List<XmlElement> children = new ArrayList<>();
     private final StringBuilder text = new StringBuilder();
 
-    private Elem(String namespace, String name) {
+    private XmlElement(String namespace, String name) {
         this.namespace = namespace == null ? "" : namespace;
         this.name = name;
     }
 
     /** Reads a whole document; IOException for what is no XML, or is past the bounds. */
-    public static Elem read(byte[] document) throws IOException {
-        XMLStreamReader in = null;
+    public static XmlElement parse(byte[] document) throws IOException {
+        XMLStreamReader reader = null;
         try {
-            in = FACTORY.createXMLStreamReader(new ByteArrayInputStream(document));
-            List<Elem> open = new ArrayList<>();
-            Elem root = null;
+            reader = FACTORY.createXMLStreamReader(new ByteArrayInputStream(document));
+            List<XmlElement> openElements = new ArrayList<>();
+            XmlElement root = null;
             int count = 0;
-            while (in.hasNext()) {
-                int event = in.next();
+            while (reader.hasNext()) {
+                int event = reader.next();
                 if (event == XMLStreamConstants.START_ELEMENT) {
-                    if (open.size() >= DEPTH || ++count > MOST) {
+                    if (openElements.size() >= MAX_DEPTH || ++count > MAX_ELEMENTS) {
                         throw new IOException(
-                                "more than " + DEPTH + " levels or " + MOST + " elements");
+                                "more than "
+                                        + MAX_DEPTH
+                                        + " levels or "
+                                        + MAX_ELEMENTS
+                                        + " elements");
                     }
-                    Elem e = new Elem(in.getNamespaceURI(), in.getLocalName());
-                    for (int i = 0; i < in.getAttributeCount(); i++) {
-                        e.attributes.put(in.getAttributeLocalName(i), in.getAttributeValue(i));
+                    XmlElement element =
+                            new XmlElement(reader.getNamespaceURI(), reader.getLocalName());
+                    for (int i = 0; i < reader.getAttributeCount(); i++) {
+                        element.attributes.put(
+                                reader.getAttributeLocalName(i), reader.getAttributeValue(i));
                     }
-                    if (open.isEmpty()) {
-                        root = e;
+                    if (openElements.isEmpty()) {
+                        root = element;
                     } else {
-                        open.get(open.size() - 1).children.add(e);
+                        openElements.get(openElements.size() - 1).children.add(element);
                     }
-                    open.add(e);
+                    openElements.add(element);
                 } else if (event == XMLStreamConstants.END_ELEMENT) {
-                    open.remove(open.size() - 1);
+                    openElements.remove(openElements.size() - 1);
                 } else if ((event == XMLStreamConstants.CHARACTERS
                                 || event == XMLStreamConstants.CDATA)
-                        && !open.isEmpty()) {
-                    open.get(open.size() - 1).text.append(in.getText());
+                        && !openElements.isEmpty()) {
+                    openElements.get(openElements.size() - 1).text.append(reader.getText());
                 } else if (event == XMLStreamConstants.DTD
                         || event == XMLStreamConstants.ENTITY_REFERENCE) {
                     throw new IOException("document types and entities are not taken");
@@ -85,9 +91,9 @@
         } catch (XMLStreamException | RuntimeException e) {
             throw new IOException("no XML: " + e.getMessage(), e);
         } finally {
-            if (in != null) {
+            if (reader != null) {
                 try {
-                    in.close();
+                    reader.close();
                 } catch (XMLStreamException e) {
                     // read already
                 }
@@ -100,27 +106,27 @@
     }
 
     /** The first child of that name; null if there is none. */
-    public Elem child(String name) {
-        for (Elem each : children) {
-            if (each.name.equals(name)) {
-                return each;
+    public XmlElement child(String name) {
+        for (XmlElement child : children) {
+            if (child.name.equals(name)) {
+                return child;
             }
         }
         return null;
     }
 
-    public List<Elem> all(String name) {
-        return children.stream().filter(e -> e.name.equals(name)).toList();
+    public List<XmlElement> childrenNamed(String name) {
+        return children.stream().filter(element -> element.name.equals(name)).toList();
     }
 
     /** A child's text; empty if there is no such child. */
     public String text(String name) {
-        Elem child = child(name);
+        XmlElement child = child(name);
         return child == null ? "" : child.text();
     }
 
     /** Text as it may stand in an element or an attribute. */
-    public static String escaped(String text) {
+    public static String escape(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
                 .replace(">", "&gt;")
--- a/src/main/java/sprucelanding/capture/package-info.java
+++ b/src/main/java/sprucelanding/replay/capture/package-info.java
@@ -3,4 +3,4 @@
  * from it: the same events give the same orders, and the first difference is shown. Writing is off
  * the loop and never delays an order.
  */
-package sprucelanding.capture;
+package sprucelanding.replay.capture;
--- /dev/null
+++ b/src/main/java/sprucelanding/replay/estimate/EndpointRecord.java
@@ -0,0 +1,12 @@
+package sprucelanding.replay.estimate;
+
+import sprucelanding.control.decision.RoutingController;
+
+/** A replica as governors were told, ms of the day; startedAt is 0 if long past. */
+public record EndpointRecord(
+        double at,
+        long endpointId,
+        int zone,
+        int type,
+        RoutingController.EndpointState state,
+        double startedAt) {}
--- a/src/main/java/sprucelanding/capture/estimate/Asked.java
+++ b/src/main/java/sprucelanding/replay/estimate/EstimatedRequest.java
@@ -1,7 +1,7 @@
-package sprucelanding.capture.estimate;
+package sprucelanding.replay.estimate;
 
 /**
  * A txn as it was first asked for: ms of the day, its proxy by position, and its work in ms, or NaN
  * if it is not known.
  */
-public record Asked(double at, int proxy, int product, double work) {}
+public record EstimatedRequest(double at, int proxy, int requestClass, double workMillis) {}
--- a/src/main/java/sprucelanding/capture/estimate/Spell.java
+++ b/src/main/java/sprucelanding/replay/estimate/FaultInterval.java
@@ -1,4 +1,4 @@
-package sprucelanding.capture.estimate;
+package sprucelanding.replay.estimate;
 
 /**
  * Something that lasted, in ms of the day: of a replica by its id, a zone or a governor by
@@ -6,12 +6,12 @@
  *
  * @param size for SLOWER, so many times slower than usual; for FAILS, the share that failed; else 1
  */
-public record Spell(What what, long whom, double from, double to, double size) {
+public record FaultInterval(FaultType type, long subject, double from, double to, double severity) {
     /**
      * Down: its process was not there, and it began anew, cold. Silent: it answered nothing, and
      * went on as it was.
      */
-    public enum What {
+    public enum FaultType {
         DOWN,
         SILENT,
         SLOWER,
--- a/src/main/java/sprucelanding/capture/estimate/package-info.java
+++ b/src/main/java/sprucelanding/replay/estimate/package-info.java
@@ -3,4 +3,4 @@
  * replica was and when it was slower or out, which zones were cut off, which governors stood still,
  * and how sure that is. No I/O and no clock.
  */
-package sprucelanding.capture.estimate;
+package sprucelanding.replay.estimate;
--- a/src/main/java/sprucelanding/loop/Loop.java
+++ b/src/main/java/sprucelanding/runtime/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package sprucelanding.loop;
+package sprucelanding.runtime.eventloop;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -20,65 +20,66 @@
 /**
  * The loop: select until the next due time, then what is ready, what is due, what was handed over.
  */
-public final class Loop implements Runnable, AutoCloseable {
+public final class EventLoop implements Runnable, AutoCloseable {
     /** What a selection key carries. */
-    interface Ready {
-        void ready(SelectionKey key) throws IOException;
+    interface SelectionHandler {
+        void onReady(SelectionKey key) throws IOException;
     }
 
     /** A due time that can be called off. */
     public static final class Timer implements Comparable<Timer> {
-        final double at;
-        final long order;
-        private Runnable what;
+        final double dueMillis;
+        final long sequence;
+        private Runnable action;
 
-        Timer(double at, long order, Runnable what) {
-            this.at = at;
-            this.order = order;
-            this.what = what;
+        Timer(double dueMillis, long sequence, Runnable action) {
+            this.dueMillis = dueMillis;
+            this.sequence = sequence;
+            this.action = action;
         }
 
         public void cancel() {
-            what = null;
+            action = null;
         }
 
         @Override
         public int compareTo(Timer other) {
-            int byTime = Double.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            int byTime = Double.compare(dueMillis, other.dueMillis);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
-    private static final int MAILBOX = 65_536;
-    private static final int HANDED_AT_ONCE = 4096;
-    private static final int DATAGRAM = 2048;
-    private static final int DATAGRAMS_AT_ONCE = 256;
-    private static final int ACCEPTED_AT_ONCE =
+    private static final int MAILBOX_CAPACITY = 65_536;
+    private static final int MAX_TASKS_PER_ROUND = 4096;
+    private static final int MAX_DATAGRAM_BYTES = 2048;
+    private static final int MAX_DATAGRAMS_PER_ROUND = 256;
+    private static final int MAX_ACCEPTS_PER_ROUND =
             16; // what is closed gives its descriptor back at the next select only
-    private static final int CHUNK = 16_384;
-    private static final double FULL = 50; // ms without accepting where no descriptor is left
+    private static final int READ_BUFFER_BYTES = 16_384;
+    private static final double ACCEPT_PAUSE_MILLIS =
+            50; // ms without accepting where no descriptor is left
 
-    private final BiConsumer<String, Throwable> failed;
+    private final BiConsumer<String, Throwable> errorHandler;
     private final Selector selector;
 
     /** What is read goes through it; nothing of it outlasts a call. */
-    final ByteBuffer in = ByteBuffer.allocateDirect(CHUNK);
+    final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-    private final Mailbox<Runnable> mailbox = new Mailbox<>(MAILBOX);
-    private long order;
+    private final Mailbox<Runnable> mailbox = new Mailbox<>(MAILBOX_CAPACITY);
+    private long nextSequence;
     private volatile boolean closed;
     private volatile Thread thread;
-    private Runnable afterEach = () -> {};
+    private Runnable afterEachRound = () -> {};
 
     /** What fails on it is logged under its name. */
-    public Loop(String name) {
-        this(name, (what, cause) -> Logged.failed(name, what, cause));
+    public EventLoop(String name) {
+        this(name, (message, cause) -> LoopErrorLogger.logError(name, message, cause));
     }
 
     /** Failed hears what went wrong in a step; the loop goes on. */
-    public Loop(String name, BiConsumer<String, Throwable> failed) {
-        this.failed = failed;
+    public EventLoop(String name, BiConsumer<String, Throwable> errorHandler) {
+        this.errorHandler = errorHandler;
         try {
             selector = Selector.open();
         } catch (IOException e) {
@@ -87,8 +88,8 @@
     }
 
     /** Opens a loop and starts its thread. */
-    public static Loop started(String name) {
-        Loop loop = new Loop(name);
+    public static EventLoop start(String name) {
+        EventLoop loop = new EventLoop(name);
         Thread thread = new Thread(loop, name);
         thread.setDaemon(true);
         thread.start();
@@ -96,34 +97,34 @@
     }
 
     /** ms with fractions on the machine's monotonic clock, which processes of one machine share. */
-    public static double now() {
+    public static double nowMillis() {
         return System.nanoTime() / 1e6;
     }
 
     /** What runs after each round, when all that was ready and due is done. */
-    public void afterEach(Runnable what) {
-        afterEach = what;
+    public void afterEachRound(Runnable task) {
+        afterEachRound = task;
     }
 
-    public Timer at(double time, Runnable what) {
-        Timer timer = new Timer(time, order++, what);
+    public Timer scheduleAt(double dueMillis, Runnable task) {
+        Timer timer = new Timer(dueMillis, nextSequence++, task);
         timers.add(timer);
         return timer;
     }
 
-    public Timer in(double ms, Runnable what) {
-        return at(now() + ms, what);
+    public Timer schedule(double delayMillis, Runnable task) {
+        return scheduleAt(nowMillis() + delayMillis, task);
     }
 
     /** Runs it again and again, each time that long after the last; it stops with the loop. */
-    public void every(double ms, Runnable what) {
-        in(
-                ms,
+    public void scheduleWithFixedDelay(double intervalMillis, Runnable task) {
+        schedule(
+                intervalMillis,
                 () -> {
                     try {
-                        what.run();
+                        task.run();
                     } finally { // one that fails once is due again all the same
-                        every(ms, what);
+                        scheduleWithFixedDelay(intervalMillis, task);
                     }
                 });
     }
@@ -132,8 +133,8 @@
      * From other threads; false if the mailbox is full or the loop has ended: then nothing was
      * taken.
      */
-    public boolean hand(Runnable what) {
-        if (!mailbox.offer(what)) {
+    public boolean tryExecute(Runnable task) {
+        if (!mailbox.offer(task)) {
             return false;
         }
         if (Thread.currentThread() != thread) {
@@ -142,7 +143,7 @@
         return true;
     }
 
-    public int port(ServerSocketChannel server) {
+    public int localPort(ServerSocketChannel server) {
         return server.socket().getLocalPort();
     }
 
@@ -151,26 +152,29 @@
      * UncheckedIOException.
      */
     public ServerSocketChannel listen(
-            InetSocketAddress at, int backlog, Consumer<SocketChannel> accepted) {
+            InetSocketAddress address, int backlog, Consumer<SocketChannel> acceptHandler) {
         try {
             ServerSocketChannel server = ServerSocketChannel.open();
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            server.bind(at, backlog);
+            server.bind(address, backlog);
             server.configureBlocking(false);
-            Ready ready =
+            SelectionHandler handler =
                     key -> {
                         try {
-                            SocketChannel each = server.accept();
-                            for (int n = 1; each != null; n++) {
-                                accepted.accept(each);
-                                each = n < ACCEPTED_AT_ONCE ? server.accept() : null;
+                            SocketChannel channel = server.accept();
+                            for (int acceptedCount = 1; channel != null; acceptedCount++) {
+                                acceptHandler.accept(channel);
+                                channel =
+                                        acceptedCount < MAX_ACCEPTS_PER_ROUND
+                                                ? server.accept()
+                                                : null;
                             }
                         } catch (
                                 IOException e) { // no descriptor is left: what waits would wake the
                             // selector again and again
                             key.interestOps(0);
-                            in(
-                                    FULL,
+                            schedule(
+                                    ACCEPT_PAUSE_MILLIS,
                                     () -> {
                                         if (key.isValid()) {
                                             key.interestOps(SelectionKey.OP_ACCEPT);
@@ -178,10 +182,10 @@
                                     });
                         }
                     };
-            server.register(selector, SelectionKey.OP_ACCEPT, ready);
+            server.register(selector, SelectionKey.OP_ACCEPT, handler);
             return server;
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot listen at " + at, e);
+            throw new UncheckedIOException("cannot listen at " + address, e);
         }
     }
 
@@ -189,15 +193,16 @@
      * A connection that was accepted; its bytes come to the listener. One that cannot be adopted is
      * closed.
      */
-    public Conn adopt(SocketChannel channel, int mostUnread, Conn.Listener listener) {
+    public TcpConnection register(
+            SocketChannel channel, int maxUnsentBytes, TcpConnection.Listener listener) {
         try {
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            Conn conn = new Conn(this, channel, mostUnread, listener);
-            conn.key = channel.register(selector, SelectionKey.OP_READ, conn);
-            return conn;
+            TcpConnection connection = new TcpConnection(this, channel, maxUnsentBytes, listener);
+            connection.selectionKey = channel.register(selector, SelectionKey.OP_READ, connection);
+            return connection;
         } catch (IOException | ClosedSelectorException e) {
-            shut(channel);
+            closeQuietly(channel);
             throw new UncheckedIOException(
                     "cannot adopt a connection",
                     e instanceof IOException io ? io : new IOException(e));
@@ -209,34 +214,38 @@
      * UncheckedIOException where this machine cannot dial at all, for want of a descriptor, a
      * buffer or an address of its own.
      */
-    public Conn dial(
-            InetSocketAddress to, InetSocketAddress from, int mostUnread, Conn.Listener listener) {
+    public TcpConnection connect(
+            InetSocketAddress remoteAddress,
+            InetSocketAddress localAddress,
+            int maxUnsentBytes,
+            TcpConnection.Listener listener) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
-            if (from != null) {
-                channel.bind(from);
+            if (localAddress != null) {
+                channel.bind(localAddress);
             }
             channel.configureBlocking(false);
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            Conn conn = new Conn(this, channel, mostUnread, listener);
-            conn.key = channel.register(selector, SelectionKey.OP_CONNECT, conn);
+            TcpConnection connection = new TcpConnection(this, channel, maxUnsentBytes, listener);
+            connection.selectionKey =
+                    channel.register(selector, SelectionKey.OP_CONNECT, connection);
             try {
-                if (channel.connect(to)) {
-                    in(0, conn::established);
+                if (channel.connect(remoteAddress)) {
+                    schedule(0, connection::finishConnect);
                 }
             } catch (ConnectException
                     | NoRouteToHostException e) { // the peer's, or on the way to it
-                in(0, () -> conn.end("cannot connect: " + e.getMessage()));
+                schedule(0, () -> connection.close("cannot connect: " + e.getMessage()));
             }
-            return conn;
+            return connection;
         } catch (IOException e) {
-            shut(channel);
-            throw new UncheckedIOException("cannot dial " + to, e);
+            closeQuietly(channel);
+            throw new UncheckedIOException("cannot dial " + remoteAddress, e);
         }
     }
 
-    private static void shut(SocketChannel channel) {
+    private static void closeQuietly(SocketChannel channel) {
         try {
             if (channel != null) {
                 channel.close();
@@ -247,33 +256,33 @@
     }
 
     /** Datagrams that come there go to the listener with their sender; longer ones are cut off. */
-    public DatagramChannel datagrams(
-            InetSocketAddress at, BiConsumer<InetSocketAddress, byte[]> came) {
+    public DatagramChannel receiveDatagrams(
+            InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> datagramHandler) {
         try {
             DatagramChannel channel = DatagramChannel.open();
-            channel.bind(at);
+            channel.bind(address);
             channel.configureBlocking(false);
-            ByteBuffer in = ByteBuffer.allocate(DATAGRAM);
-            Ready ready =
+            ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
+            SelectionHandler handler =
                     key -> {
-                        for (int n = 0;
-                                n < DATAGRAMS_AT_ONCE;
-                                n++) { // a flood is left to the socket's own buffer
-                            in.clear();
-                            InetSocketAddress from = (InetSocketAddress) channel.receive(in);
-                            if (from == null) {
+                        for (int received = 0;
+                                received < MAX_DATAGRAMS_PER_ROUND;
+                                received++) { // a flood is left to the socket's own buffer
+                            buffer.clear();
+                            InetSocketAddress sender = (InetSocketAddress) channel.receive(buffer);
+                            if (sender == null) {
                                 break;
                             }
-                            in.flip();
-                            byte[] note = new byte[in.remaining()];
-                            in.get(note);
-                            came.accept(from, note);
+                            buffer.flip();
+                            byte[] payload = new byte[buffer.remaining()];
+                            buffer.get(payload);
+                            datagramHandler.accept(sender, payload);
                         }
                     };
-            channel.register(selector, SelectionKey.OP_READ, ready);
+            channel.register(selector, SelectionKey.OP_READ, handler);
             return channel;
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot take datagrams at " + at, e);
+            throw new UncheckedIOException("cannot take datagrams at " + address, e);
         }
     }
 
@@ -282,11 +291,11 @@
         thread = Thread.currentThread();
         while (!closed) {
             try {
-                round();
+                runOnce();
             } catch (ClosedSelectorException e) {
                 break;
             } catch (IOException e) {
-                failed.accept("the selector failed", e);
+                errorHandler.accept("the selector failed", e);
                 break;
             }
         }
@@ -300,48 +309,50 @@
         }
     }
 
-    private void round() throws IOException {
-        Timer next = timers.peek();
-        double wait = next == null ? 1000 : next.at - now();
-        if (!mailbox.isEmpty() || wait <= 0) {
+    private void runOnce() throws IOException {
+        Timer nextTimer = timers.peek();
+        double waitMillis = nextTimer == null ? 1000 : nextTimer.dueMillis - nowMillis();
+        if (!mailbox.isEmpty() || waitMillis <= 0) {
             selector.selectNow();
         } else {
             selector.select(
-                    Math.max(1, (long) wait)); // a whole ms at least: no spinning before a due time
+                    Math.max(
+                            1, (long) waitMillis)); // a whole ms at least: no spinning before a due
+            // time
         }
         for (SelectionKey key : selector.selectedKeys()) {
             if (key.isValid()) {
-                guarded(() -> ((Ready) key.attachment()).ready(key));
+                runGuarded(() -> ((SelectionHandler) key.attachment()).onReady(key));
             }
         }
         selector.selectedKeys().clear();
-        double now = now();
-        while (!timers.isEmpty() && timers.peek().at <= now) {
-            Runnable what = timers.poll().what;
-            if (what != null) {
-                guarded(what::run);
+        double nowMillis = nowMillis();
+        while (!timers.isEmpty() && timers.peek().dueMillis <= nowMillis) {
+            Runnable task = timers.poll().action;
+            if (task != null) {
+                runGuarded(task::run);
             }
         }
-        for (int i = 0; i < HANDED_AT_ONCE; i++) {
-            Runnable what = mailbox.poll();
-            if (what == null) {
+        for (int i = 0; i < MAX_TASKS_PER_ROUND; i++) {
+            Runnable task = mailbox.poll();
+            if (task == null) {
                 break;
             }
-            guarded(what::run);
+            runGuarded(task::run);
         }
-        guarded(afterEach::run);
+        runGuarded(afterEachRound::run);
     }
 
-    private interface Step {
+    private interface IoTask {
         void run() throws IOException;
     }
 
     /** One peer's failure must not end the loop for all others. */
-    private void guarded(Step step) {
+    private void runGuarded(IoTask task) {
         try {
-            step.run();
+            task.run();
         } catch (IOException | RuntimeException | StackOverflowError | OutOfMemoryError e) {
-            failed.accept("a step failed", e);
+            errorHandler.accept("a step failed", e);
         }
     }
 
@@ -350,10 +361,10 @@
         mailbox.close();
         closed = true;
         selector.wakeup();
-        Thread running = thread;
-        if (running != null && running != Thread.currentThread()) {
+        Thread loopThread = thread;
+        if (loopThread != null && loopThread != Thread.currentThread()) {
             try {
-                running.join(2000);
+                loopThread.join(2000);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/sprucelanding/loop/Mailbox.java
+++ b/src/main/java/sprucelanding/runtime/eventloop/Mailbox.java
@@ -1,4 +1,4 @@
-package sprucelanding.loop;
+package sprucelanding.runtime.eventloop;
 
 import java.util.ArrayDeque;
 
@@ -8,26 +8,26 @@
  * between.
  */
 public final class Mailbox<T> {
-    private final int most;
-    private final ArrayDeque<T> all = new ArrayDeque<>();
+    private final int capacity;
+    private final ArrayDeque<T> queue = new ArrayDeque<>();
     private boolean closed;
 
-    public Mailbox(int most) {
-        this.most = most;
+    public Mailbox(int capacity) {
+        this.capacity = capacity;
     }
 
     /** False if it is full or closed: nothing was taken. */
-    public synchronized boolean offer(T what) {
-        return !closed && all.size() < most && all.add(what);
+    public synchronized boolean offer(T item) {
+        return !closed && queue.size() < capacity && queue.add(item);
     }
 
     /** The oldest, or null. */
     public synchronized T poll() {
-        return all.poll();
+        return queue.poll();
     }
 
     public synchronized boolean isEmpty() {
-        return all.isEmpty();
+        return queue.isEmpty();
     }
 
     /** From now on nothing is taken; what was taken before can still be polled. */
--- a/src/main/java/sprucelanding/loop/package-info.java
+++ b/src/main/java/sprucelanding/runtime/eventloop/package-info.java
@@ -3,4 +3,4 @@
  * the stand-ins alike. A loop is opened with a name and run by a thread of its own; all that it
  * calls runs on that thread, and nothing called there may block.
  */
-package sprucelanding.loop;
+package sprucelanding.runtime.eventloop;
--- /dev/null
+++ b/src/main/java/sprucelanding/runtime/governor/DiscoveryLink.java
@@ -0,0 +1,113 @@
+package sprucelanding.runtime.governor;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.HttpParser;
+import sprucelanding.runtime.eventloop.TcpConnection;
+
+/**
+ * The stream on which the roster tells its list: server-sent events (WHATWG HTML, section 9.2) over
+ * HTTP/1.1, data of one line each. It dials again after a break, with the last event's id, waiting
+ * longer each time.
+ */
+final class DiscoveryLink implements TcpConnection.Listener {
+    interface EventListener {
+        void streamOpened();
+
+        void eventReceived(String data);
+
+        void streamBroken(String reason);
+    }
+
+    private static final int MAX_EVENT_BYTES = 4 << 20;
+    private static final int MAX_UNREAD_BYTES = 65_536;
+    private static final double INITIAL_RETRY_MILLIS = 100;
+    private static final double MAX_RETRY_MILLIS = 5000;
+
+    private final EventLoop loop;
+    private final InetSocketAddress address;
+    private final InetSocketAddress localAddress;
+    private final EventListener listener;
+    private final StringBuilder eventData = new StringBuilder();
+    private final java.io.ByteArrayOutputStream line = new java.io.ByteArrayOutputStream();
+    private HttpParser httpParser;
+    private double retryMillis = INITIAL_RETRY_MILLIS;
+    private TcpConnection connection;
+
+    DiscoveryLink(
+            EventLoop loop,
+            InetSocketAddress address,
+            InetSocketAddress localAddress,
+            EventListener listener) {
+        this.localAddress = localAddress;
+        this.loop = loop;
+        this.address = address;
+        this.listener = listener;
+    }
+
+    void open() {
+        eventData.setLength(0);
+        line.reset();
+        httpParser =
+                new HttpParser(
+                                head -> {
+                                    if (head.status() != 200
+                                            || !head.header("content-type")
+                                                    .startsWith("text/event-stream")) {
+                                        connection.close();
+                                    } else {
+                                        retryMillis = INITIAL_RETRY_MILLIS;
+                                        listener.streamOpened();
+                                    }
+                                })
+                        .streamBodiesTo(this::onBodyBytes);
+        connection = loop.connect(address, localAddress, MAX_UNREAD_BYTES, this);
+    }
+
+    /** Drops the stream and asks for all anew. */
+    void reconnect() {
+        connection.close();
+    }
+
+    @Override
+    public void onConnected(TcpConnection connection) {
+        connection.write(HttpParser.request("GET", "/list", "accept", "text/event-stream"));
+    }
+
+    @Override
+    public void onReceived(TcpConnection connection, ByteBuffer input) throws IOException {
+        httpParser.parse(input);
+    }
+
+    private void onBodyBytes(byte[] bytes) {
+        for (byte octet : bytes) {
+            if (octet != '\n') {
+                line.write(octet);
+                if (line.size() > MAX_EVENT_BYTES) { // an endless line must not fill the memory
+                    connection.close();
+                    return;
+                }
+                continue;
+            }
+            String text = line.toString(StandardCharsets.UTF_8).replace("\r", "");
+            line.reset();
+            if (text.startsWith("data:")) {
+                eventData.append(text, text.startsWith("data: ") ? 6 : 5, text.length());
+            } else if (text.isEmpty() && !eventData.isEmpty()) {
+                String data = eventData.toString();
+                eventData.setLength(0);
+                listener.eventReceived(data);
+            }
+        }
+    }
+
+    @Override
+    public void onClosed(TcpConnection connection, String reason) {
+        listener.streamBroken(reason);
+        loop.schedule(retryMillis, this::open);
+        retryMillis = Math.min(MAX_RETRY_MILLIS, 2 * retryMillis);
+    }
+}
--- a/src/main/java/sprucelanding/governor/Keep.java
+++ b/src/main/java/sprucelanding/runtime/governor/EndpointListFile.java
@@ -1,4 +1,4 @@
-package sprucelanding.governor;
+package sprucelanding.runtime.governor;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -9,22 +9,22 @@
 import org.slf4j.LoggerFactory;
 
 /** Writes the last list to a file, in a thread of its own; a restarted governor begins with it. */
-final class Keep implements Runnable {
-    private static final Logger LOG = LoggerFactory.getLogger(Keep.class);
+final class EndpointListFile implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListFile.class);
     private final Path file;
-    private final ArrayBlockingQueue<String> latest = new ArrayBlockingQueue<>(1);
+    private final ArrayBlockingQueue<String> pendingText = new ArrayBlockingQueue<>(1);
     private final Thread thread = new Thread(this, "keep");
 
-    Keep(Path file) {
+    EndpointListFile(Path file) {
         this.file = file;
         thread.setDaemon(true);
         thread.start();
     }
 
     /** The newest text wins; never blocks. */
-    void put(String text) {
-        while (!latest.offer(text)) {
-            latest.poll();
+    void store(String text) {
+        while (!pendingText.offer(text)) {
+            pendingText.poll();
         }
     }
 
@@ -42,9 +42,10 @@
     public void run() {
         try {
             while (true) {
-                String text = latest.take();
+                String text = pendingText.take();
                 try {
-                    OwnFile.replace(file, text.getBytes(StandardCharsets.UTF_8), false);
+                    PrivateFiles.replaceAtomically(
+                            file, text.getBytes(StandardCharsets.UTF_8), false);
                 } catch (IOException e) {
                     LOG.atWarn()
                             .addKeyValue("file", file)
--- a/src/main/java/sprucelanding/governor/Front.java
+++ b/src/main/java/sprucelanding/runtime/governor/Front.java
@@ -1,7 +1,7 @@
-package sprucelanding.governor;
+package sprucelanding.runtime.governor;
 
-import sprucelanding.delivery.Holder;
-import sprucelanding.delivery.Message;
+import sprucelanding.control.delivery.ProxyStream;
+import sprucelanding.control.delivery.ResourceUpdate;
 
 /** What speaks to proxies. All calls come from the core's thread and must not block. */
 public interface Front {
@@ -10,10 +10,10 @@
     /**
      * Takes a message for a proxy of its own; it may hold it back while the proxy does not read.
      */
-    void send(Message message, Site site);
+    void send(ResourceUpdate update, ResourceNaming naming);
 
     /** Ends a stream; the proxy is told why. */
-    void end(Holder holder, boolean busy, String why);
+    void endStream(ProxyStream stream, boolean busy, String reason);
 
     void close();
 }
--- a/src/main/java/sprucelanding/governor/Lives.java
+++ b/src/main/java/sprucelanding/runtime/governor/GenerationFile.java
@@ -1,4 +1,4 @@
-package sprucelanding.governor;
+package sprucelanding.runtime.governor;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -10,49 +10,52 @@
  * written ahead of what was heard, so rarely, and renamed into place. Guards against a wall clock
  * that was set back while governors restart.
  */
-public final class Lives {
-    private static final long AHEAD = 100_000;
+public final class GenerationFile {
+    private static final long WRITE_AHEAD = 100_000;
     private final Path file;
-    private final long life;
-    private long kept;
+    private final long generation;
+    private long storedEpoch;
 
     /**
      * Throws IOException if the file cannot be read or written: then epochs might go back. Null:
      * none is kept.
      */
-    public Lives(Path file, long wall) throws IOException {
+    public GenerationFile(Path file, long wallClockMillis) throws IOException {
         this.file = file;
         if (file == null) {
-            life = wall;
+            generation = wallClockMillis;
             return;
         }
-        long before = 0;
+        long storedBefore = 0;
         if (Files.exists(file)) {
             try {
-                before = Long.parseLong(Files.readString(file).trim());
+                storedBefore = Long.parseLong(Files.readString(file).trim());
             } catch (NumberFormatException e) {
                 throw new IOException(
                         file + ": expected one number; it tells what epochs must begin above");
             }
         }
-        life = Math.max(wall, before + 1);
-        put(life);
+        generation = Math.max(wallClockMillis, storedBefore + 1);
+        write(generation);
     }
 
     /** This life: ms since 1970 at its begin, or more if it was so late before. */
-    public long life() {
-        return life;
+    public long generation() {
+        return generation;
     }
 
     /** The highest epoch heard of; on a thread that may wait. */
-    void heard(long highest) throws IOException {
-        if (file != null && highest > kept - AHEAD / 2) {
-            put(highest);
+    void recordEpoch(long highestEpoch) throws IOException {
+        if (file != null && highestEpoch > storedEpoch - WRITE_AHEAD / 2) {
+            write(highestEpoch);
         }
     }
 
-    private void put(long highest) throws IOException {
-        OwnFile.replace(file, ((highest + AHEAD) + "\n").getBytes(StandardCharsets.US_ASCII), true);
-        kept = highest + AHEAD;
+    private void write(long highestEpoch) throws IOException {
+        PrivateFiles.replaceAtomically(
+                file,
+                ((highestEpoch + WRITE_AHEAD) + "\n").getBytes(StandardCharsets.US_ASCII),
+                true);
+        storedEpoch = highestEpoch + WRITE_AHEAD;
     }
 }
--- a/src/main/java/sprucelanding/governor/Secrets.java
+++ b/src/main/java/sprucelanding/runtime/governor/PeerKeys.java
@@ -1,4 +1,4 @@
-package sprucelanding.governor;
+package sprucelanding.runtime.governor;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -8,31 +8,31 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import sprucelanding.fleet.Packets;
+import sprucelanding.control.membership.PeerCodec;
 
 /**
  * The keys that governors share, from a file of hexadecimal lines, 16 bytes each at least: the
  * first signs, all are accepted. So a key changes in service in three steps: added last everywhere,
  * then moved first everywhere, then the old one taken out.
  */
-public final class Secrets {
-    private static final Logger LOG = LoggerFactory.getLogger(Secrets.class);
-    private static final int LARGEST = 64 * 1024;
+public final class PeerKeys {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerKeys.class);
+    private static final int MAX_FILE_BYTES = 64 * 1024;
     private final Path file;
-    private volatile Packets packets;
-    private long readAt;
+    private volatile PeerCodec codec;
+    private long fileModifiedMillis;
 
     /** Throws IOException, which names the file and line, if it cannot be used. */
-    public Secrets(Path file) throws IOException {
+    public PeerKeys(Path file) throws IOException {
         this.file = file;
-        this.packets = read();
+        this.codec = read();
     }
 
-    private Packets read() throws IOException {
-        readAt = Files.getLastModifiedTime(file).toMillis();
-        OwnFile.secret(file);
-        if (Files.size(file) > LARGEST) {
-            throw new IOException(file + ": more than " + LARGEST + " bytes");
+    private PeerCodec read() throws IOException {
+        fileModifiedMillis = Files.getLastModifiedTime(file).toMillis();
+        PrivateFiles.requirePrivate(file);
+        if (Files.size(file) > MAX_FILE_BYTES) {
+            throw new IOException(file + ": more than " + MAX_FILE_BYTES + " bytes");
         }
         List<byte[]> keys = new ArrayList<>();
         List<String> lines = Files.readAllLines(file);
@@ -43,7 +43,7 @@
             }
             try {
                 keys.add(HexFormat.of().parseHex(line));
-                new Packets(keys);
+                new PeerCodec(keys);
             } catch (IllegalArgumentException e) {
                 throw new IOException(
                         file
@@ -55,17 +55,17 @@
         if (keys.isEmpty()) {
             throw new IOException(file + ": no key");
         }
-        return new Packets(keys);
+        return new PeerCodec(keys);
     }
 
     /**
      * Reads the file again if it has changed, on a thread that may wait; what cannot be used
      * changes nothing.
      */
-    void look() {
+    void reloadIfChanged() {
         try {
-            if (Files.getLastModifiedTime(file).toMillis() != readAt) {
-                packets = read();
+            if (Files.getLastModifiedTime(file).toMillis() != fileModifiedMillis) {
+                codec = read();
                 LOG.atInfo()
                         .setMessage("the governors' keys are read anew")
                         .addKeyValue("file", file)
@@ -80,7 +80,7 @@
     }
 
     /** To be used on one thread. */
-    Packets packets() {
-        return packets;
+    PeerCodec codec() {
+        return codec;
     }
 }
--- a/src/main/java/sprucelanding/governor/OwnFile.java
+++ b/src/main/java/sprucelanding/runtime/governor/PrivateFiles.java
@@ -1,4 +1,4 @@
-package sprucelanding.governor;
+package sprucelanding.runtime.governor;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -12,15 +12,16 @@
 import java.util.Set;
 
 /** Files that are this governor's own: secrets, and what it writes for its next life. */
-public final class OwnFile {
-    private static final Set<PosixFilePermission> OTHERS =
+public final class PrivateFiles {
+    private static final Set<PosixFilePermission> NON_OWNER_PERMISSIONS =
             PosixFilePermissions.fromString("---rwxrwx");
 
-    private OwnFile() {}
+    private PrivateFiles() {}
 
     /** Throws IOException if others than its owner may use it. */
-    public static void secret(Path file) throws IOException {
-        if (Files.getPosixFilePermissions(file).stream().anyMatch(OTHERS::contains)) {
+    public static void requirePrivate(Path file) throws IOException {
+        if (Files.getPosixFilePermissions(file).stream()
+                .anyMatch(NON_OWNER_PERMISSIONS::contains)) {
             throw new IOException(file + ": others than its owner may use it; expected mode 600");
         }
     }
@@ -30,21 +31,25 @@
      *
      * @param forced it is on the disk before that
      */
-    static void replace(Path file, byte[] content, boolean forced) throws IOException {
-        Path half = file.resolveSibling(file.getFileName() + ".new");
+    static void replaceAtomically(Path file, byte[] content, boolean synced) throws IOException {
+        Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel out =
                 FileChannel.open(
-                        half,
+                        temporaryFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.TRUNCATE_EXISTING,
                         StandardOpenOption.WRITE)) {
-            for (ByteBuffer left = ByteBuffer.wrap(content); left.hasRemaining(); ) {
-                out.write(left);
+            for (ByteBuffer remaining = ByteBuffer.wrap(content); remaining.hasRemaining(); ) {
+                out.write(remaining);
             }
-            if (forced) {
+            if (synced) {
                 out.force(true);
             }
         }
-        Files.move(half, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                temporaryFile,
+                file,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/main/java/sprucelanding/platform/Rehearsal.java
+++ b/src/main/java/sprucelanding/runtime/server/ClassArchiveTraining.java
@@ -1,4 +1,4 @@
-package sprucelanding.platform;
+package sprucelanding.runtime.server;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -11,9 +11,9 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import sprucelanding.loop.Conn;
-import sprucelanding.loop.Http;
-import sprucelanding.loop.Loop;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.HttpParser;
+import sprucelanding.runtime.eventloop.TcpConnection;
 import sun.misc.Signal;
 
 /**
@@ -21,129 +21,130 @@
  * a start with a known list, a watch, a proxy, a collector, a probe, a stranger and a new
  * configuration, all on loopback and for a bounded time. The governor in service never comes here.
  */
-public final class Rehearsal {
-    private static final double LASTS = 3000; // ms
-    private static final int UNREAD = 1 << 20;
+public final class ClassArchiveTraining {
+    private static final double DURATION_MILLIS = 3000; // ms
+    private static final int MAX_UNSENT_BYTES = 1 << 20;
 
-    private Rehearsal() {}
+    private ClassArchiveTraining() {}
 
     /** Exits 0, also if nothing could be played: the archive holds less then. */
     public static void main(String[] args) throws IOException {
-        Path file = Files.createTempFile("rehearsal", ".json");
-        file.toFile().deleteOnExit();
-        Loop parties = Loop.started("rehearsal");
-        parties.in(LASTS, () -> System.exit(0));
+        Path configFile = Files.createTempFile("rehearsal", ".json");
+        configFile.toFile().deleteOnExit();
+        EventLoop loop = EventLoop.start("rehearsal");
+        loop.schedule(DURATION_MILLIS, () -> System.exit(0));
         String discovery =
-                server(
-                        parties,
-                        (conn, text) ->
-                                conn.write(
+                startServer(
+                        loop,
+                        (connection, text) ->
+                                connection.write(
                                         ("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
                                                         + chunk(
-                                                                list(
+                                                                endpointList(
                                                                         2,
                                                                         true,
-                                                                        entry(
+                                                                        listEntry(
                                                                                 "a1",
                                                                                 "127.0.0.1:9",
                                                                                 "ready"),
-                                                                        entry(
+                                                                        listEntry(
                                                                                 "a2",
                                                                                 "127.0.0.1:9",
                                                                                 "ready")))
                                                         + chunk(
-                                                                list(
+                                                                endpointList(
                                                                         3,
                                                                         false,
-                                                                        entry(
+                                                                        listEntry(
                                                                                 "a1",
                                                                                 "127.0.0.1:9",
                                                                                 "draining"))))
                                                 .getBytes(StandardCharsets.UTF_8)));
-        String replica =
-                server(
-                        parties,
-                        (conn, text) ->
-                                conn.write(
-                                        Http.response(
+        String endpoint =
+                startServer(
+                        loop,
+                        (connection, text) ->
+                                connection.write(
+                                        HttpParser.response(
                                                 200,
                                                 "TEXT util=0.5".getBytes(StandardCharsets.UTF_8))));
         int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        try (ServerSocket portProbe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = portProbe.getLocalPort();
         }
         Files.writeString(
-                file,
+                configFile,
                 "{\"name\":\"rehearsal\",\"listen\":\"127.0.0.1:"
                         + port
                         + "\",\"discovery\":\""
                         + discovery
                         + "\",\"seed\":\"1\",\"limits\":{\"sockets\":256},\"known\":"
-                        + list(
+                        + endpointList(
                                 1,
                                 true,
-                                entry("a1", replica, "ready"),
-                                entry("a2", replica, "ready"),
-                                entry("a3", replica, "ready"))
+                                listEntry("a1", endpoint, "ready"),
+                                listEntry("a2", endpoint, "ready"),
+                                listEntry("a3", endpoint, "ready"))
                         + ",\"settings\":{\"classes\":[{\"name\":\"one\","
                         + "\"effect\":\"pure\",\"worth\":1,\"promiseUs\":500000},{\"name\":\"two\",\"promiseUs\":500000}],\"zones\":[\"z\"],"
                         + "\"kinds\":[\"k\"],\"tickUs\":1000,\"report\":{\"how\":\"answers\",\"names\":[\"util\"]},\"contract\":{\"coldFrom\":0.3,"
                         + "\"warmAfterUs\":1000000},\"familyInfo\":{\"admit\":\"share\",\"proxies\":2,\"egressPerS\":3000,\"head\":6,"
                         + "\"queueCap\":5000,\"reportEveryUs\":300000},\"ceilings\":{\"probes\":true}}}");
-        InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-        parties.in(
-                LASTS / 4,
+        InetSocketAddress governor = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+        loop.schedule(
+                DURATION_MILLIS / 4,
                 () -> {
-                    says(parties, at, "noise\n");
-                    says(
-                            parties,
-                            at,
+                    connectAndSend(loop, governor, "noise\n");
+                    connectAndSend(
+                            loop,
+                            governor,
                             "{\"msg\":\"ping\"}\n{\"msg\":\"joined\",\"sidecar\":0,\"az\":\"z\",\"share\":9.5,\"standing\":true}\n"
                                     + "{\"msg\":\"usage\",\"sidecar\":0,\"kind\":\"one\",\"n\":19,\"bad\":0,\"window\":1000.0}\n");
-                    says(
-                            parties,
-                            at,
+                    connectAndSend(
+                            loop,
+                            governor,
                             "{\"msg\":\"collector\",\"az\":\"z\"}\n{\"msg\":\"heard\",\"az\":\"z\",\"host\":\"a2\",\"n\":9,\"bad\":1,"
                                     + "\"avg\":41.7,\"window\":1000.0,\"report\":{\"util\":0.61}}\n");
                 });
-        parties.in(LASTS / 2, () -> Signal.raise(new Signal("HUP")));
-        Serve.run(Map.of("NODE_CONFIG", file.toString()), System.err);
+        loop.schedule(DURATION_MILLIS / 2, () -> Signal.raise(new Signal("HUP")));
+        GovernorServer.run(Map.of("NODE_CONFIG", configFile.toString()), System.err);
         System.exit(0);
     }
 
     /** Answers whatever comes there, once; its address. */
-    private static String server(Loop loop, BiConsumer<Conn, String> answers) {
+    private static String startServer(EventLoop loop, BiConsumer<TcpConnection, String> responder) {
         ServerSocketChannel server =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         50,
                         channel ->
-                                loop.adopt(
+                                loop.register(
                                         channel,
-                                        UNREAD,
-                                        (conn, in) -> answers.accept(conn, text(in))));
-        return "127.0.0.1:" + loop.port(server);
+                                        MAX_UNSENT_BYTES,
+                                        (connection, buffer) ->
+                                                responder.accept(connection, decode(buffer))));
+        return "127.0.0.1:" + loop.localPort(server);
     }
 
     /** Dials, says it, and confirms each receipt that is asked for. */
-    private static void says(Loop loop, InetSocketAddress at, String what) {
-        loop.dial(
-                at,
+    private static void connectAndSend(EventLoop loop, InetSocketAddress address, String message) {
+        loop.connect(
+                address,
                 null,
-                UNREAD,
-                new Conn.Listener() {
+                MAX_UNSENT_BYTES,
+                new TcpConnection.Listener() {
                     @Override
-                    public void connected(Conn conn) {
-                        conn.write(what.getBytes(StandardCharsets.UTF_8));
+                    public void onConnected(TcpConnection connection) {
+                        connection.write(message.getBytes(StandardCharsets.UTF_8));
                     }
 
                     @Override
-                    public void received(Conn conn, ByteBuffer in) {
-                        String text = text(in);
+                    public void onReceived(TcpConnection connection, ByteBuffer buffer) {
+                        String text = decode(buffer);
                         int nonce = text.lastIndexOf("\"nonce_out\":");
                         if (nonce >= 0) {
                             String version = text.substring(nonce + 12).split("}")[0];
-                            conn.write(
+                            connection.write(
                                     ("{\"msg\":\"applied\",\"sidecar\":0,\"version\":"
                                                     + version
                                                     + ",\"lag_ms\":9.5}\n")
@@ -153,11 +154,11 @@
                 });
     }
 
-    private static String text(ByteBuffer in) {
-        return StandardCharsets.UTF_8.decode(in).toString();
+    private static String decode(ByteBuffer buffer) {
+        return StandardCharsets.UTF_8.decode(buffer).toString();
     }
 
-    private static String entry(String uid, String endpoint, String state) {
+    private static String listEntry(String uid, String endpoint, String state) {
         return "{\"uid\":\""
                 + uid
                 + "\",\"endpoint\":\""
@@ -167,11 +168,11 @@
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    private static String list(int rev, boolean all, String... entries) {
+    private static String endpointList(int revision, boolean full, String... entries) {
         return "{\"rev\":"
-                + rev
+                + revision
                 + ",\"all\":"
-                + all
+                + full
                 + ",\"targets\":["
                 + String.join(",", entries)
                 + "]}";
--- /dev/null
+++ b/src/main/java/sprucelanding/runtime/server/ControllerHost.java
@@ -0,0 +1,285 @@
+package sprucelanding.runtime.server;
+
+import com.eclipsesource.json.JsonObject;
+import com.eclipsesource.json.JsonValue;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.decision.Proxy;
+import sprucelanding.control.decision.RequestClass;
+import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.distribution.ProxyUpdate;
+import sprucelanding.control.distribution.TableDistributor;
+import sprucelanding.control.settings.SettingsReader;
+import sprucelanding.runtime.eventloop.EventLoop;
+
+/**
+ * Where all that is heard comes to the decision module, and its orders go out. Inputs only note;
+ * the module decides at most once a tick, and what it orders then is one moment. The module's clock
+ * is Unix time as of the start, going on monotonically.
+ */
+final class ControllerHost implements ControllerOutput {
+    /** A joined proxy's stream. */
+    interface UpdateStream {
+        /** Receipt: asked for with it, or Update.NONE. */
+        void write(byte[] update, int acknowledgementId);
+
+        /** The proxy has begun a newer one. */
+        void superseded();
+
+        /** It cannot be kept in step: it ends for that reason. */
+        void fail(String reason);
+    }
+
+    private final EventLoop loop;
+    private final EventLog eventLog;
+    private final RoutingController controller;
+    private final TableDistributor distributor;
+    private final EndpointDirectory endpoints;
+    private final UpdateEncoder encoder;
+    private final double epochOffsetMillis = System.currentTimeMillis() - EventLoop.nowMillis();
+    private final double decisionIntervalMillis;
+    private final LoadReportParser reportParser;
+    private final HealthChecker healthChecker;
+    private final List<String> requestClassNames;
+    private final Map<Integer, UpdateStream> streamsByProxy = new HashMap<>();
+    private boolean decisionScheduled;
+    private long rejectedEntriesLogged;
+    private double clockErrorLoggedMillis;
+    private double lastDecisionMillis;
+
+    ControllerHost(EventLoop loop, EventLog eventLog, SettingsReader settings, long seed) {
+        this.loop = loop;
+        this.eventLog = eventLog;
+        controller = settings.newController(seed);
+        decisionIntervalMillis = settings.decisionIntervalMillis();
+        reportParser = new LoadReportParser(settings.loadField());
+        healthChecker =
+                new HealthChecker(
+                        loop,
+                        settings.hasLoadReports(),
+                        settings.connectTimeoutMillis(),
+                        reportParser,
+                        (endpointId, result, load) ->
+                                beginInput().healthCheckCompleted(endpointId, result, load));
+        requestClassNames = settings.names("classes");
+        endpoints = new EndpointDirectory(settings.names("zones"), settings.names("kinds"));
+        distributor =
+                new TableDistributor(
+                        requestClassNames.size(),
+                        Endpoint::mayBeEjectedElsewhere,
+                        Endpoint::isAvailable);
+        encoder = new UpdateEncoder(requestClassNames, endpoint -> endpoints.find(endpoint.id).uid);
+        controller.setTime(unixMillis());
+    }
+
+    private double unixMillis() {
+        return EventLoop.nowMillis() + epochOffsetMillis;
+    }
+
+    /** For an input that comes now. */
+    private RoutingController beginInput() {
+        controller.setTime(unixMillis());
+        if (!decisionScheduled) {
+            decisionScheduled = true;
+            loop.scheduleAt(
+                    Math.max(EventLoop.nowMillis(), lastDecisionMillis + decisionIntervalMillis),
+                    this::decide);
+        }
+        return controller;
+    }
+
+    private void decide() {
+        decisionScheduled = false;
+        lastDecisionMillis = EventLoop.nowMillis();
+        controller.setTime(unixMillis());
+        try {
+            while (controller.decide(this)) {
+                continue;
+            }
+        } catch (RuntimeException e) {
+            eventLog.logFailure("a decision failed", e);
+        }
+        encoder.beginBatch();
+        distributor.flush(this::sendUpdate);
+        logRejectedEntries();
+    }
+
+    /**
+     * One update that cannot be written ends its own stream, whose proxy then joins anew; the
+     * others' updates go out.
+     */
+    private void sendUpdate(ProxyUpdate update) {
+        UpdateStream stream = streamsByProxy.get(update.proxyId());
+        if (stream == null) {
+            return;
+        }
+        try {
+            stream.write(encoder.encode(update), update.acknowledgementId());
+        } catch (RuntimeException e) {
+            eventLog.logFailure("event=update_failed proxy=" + update.proxyId(), e);
+            stream.fail("an update that cannot be written");
+        }
+    }
+
+    private void logRejectedEntries() {
+        if (distributor.rejectedEntries() > rejectedEntriesLogged) {
+            rejectedEntriesLogged = distributor.rejectedEntries();
+            eventLog.log("event=guard_refused_line total=" + rejectedEntriesLogged);
+        }
+    }
+
+    /** Discovery's list or changes; first for the one held before this start. Throws Malformed. */
+    boolean applyEndpointList(JsonObject list, boolean fromLastRun) {
+        boolean complete = endpoints.applyList(list, fromLastRun, unixMillis(), beginInput());
+        eventLog.log(
+                "event=endpoints_changed rev="
+                        + endpoints.revision()
+                        + " whole="
+                        + list.get("all")
+                        + " entries="
+                        + list.get("targets").asArray().size()
+                        + " ready="
+                        + endpoints.readyCount());
+        if (endpoints.clockErrorMillis() != clockErrorLoggedMillis) {
+            clockErrorLoggedMillis = endpoints.clockErrorMillis();
+            eventLog.log("event=clock_corrected ahead_ms=" + Math.round(clockErrorLoggedMillis));
+        }
+        if (endpoints.removeGone(unixMillis(), distributor::hasEntryFor)) {
+            distributor.forget(endpoint -> endpoints.find(endpoint.id) == null);
+        }
+        return complete;
+    }
+
+    long revision() {
+        return endpoints.revision();
+    }
+
+    /** The zone's number; -1 if there is none of that name. */
+    int zoneIndex(String name) {
+        return endpoints.zoneIndex(name);
+    }
+
+    /** Whether discovery has ever named it. */
+    boolean isKnownEndpoint(String uid) {
+        return endpoints.find(uid) != null;
+    }
+
+    /** The product's number; -1 if there is none of that name. */
+    int requestClassIndex(String name) {
+        return requestClassNames.indexOf(name);
+    }
+
+    /**
+     * A proxy's stream begins; one before it is left by that. Usual: txns a second. Bare: it
+     * brought no ordered table.
+     */
+    void proxyJoined(
+            int proxyId,
+            int zoneIndex,
+            double expectedRate,
+            boolean withoutTables,
+            UpdateStream stream) {
+        UpdateStream previous = streamsByProxy.put(proxyId, stream);
+        distributor.proxyJoined(proxyId, withoutTables);
+        beginInput().proxyJoined(proxyId, zoneIndex, expectedRate, withoutTables);
+        if (previous != null) {
+            previous.superseded();
+        }
+    }
+
+    /** Its stream ended; nothing if a newer one of the proxy has begun. */
+    void proxyLeft(int proxyId, UpdateStream stream) {
+        if (streamsByProxy.remove(proxyId, stream)) {
+            distributor.proxyLeft(proxyId);
+            beginInput().proxyLeft(proxyId);
+        }
+    }
+
+    /** Probes under way. */
+    int healthChecksInFlight() {
+        return healthChecker.inFlight();
+    }
+
+    void updateAcknowledged(int proxyId, int acknowledgementId) {
+        beginInput().acknowledged(proxyId, acknowledgementId);
+    }
+
+    /**
+     * Tries at a replica that a zone's proxies made; told: its report, or null. Throws Malformed.
+     */
+    void endpointStatsReported(
+            String uid,
+            int attempts,
+            int failedAttempts,
+            double responseMillis,
+            JsonValue loadReport) {
+        double load = reportParser.load(loadReport);
+        beginInput()
+                .endpointStatsReported(
+                        endpoints.find(uid).id, attempts, failedAttempts, responseMillis, load);
+    }
+
+    void demandReported(int proxyId, int classIndex, int requestCount, double windowMillis) {
+        beginInput().demandReported(proxyId, classIndex, requestCount, windowMillis);
+    }
+
+    @Override
+    public void setWeight(int table, Endpoint endpoint, double weight) {
+        distributor.setWeight(table, endpoint, weight);
+    }
+
+    @Override
+    public void clearTable(int table) {
+        distributor.clearTable(table);
+    }
+
+    @Override
+    public void setEjected(Endpoint endpoint, boolean ejected) {
+        distributor.setEjected(endpoint, ejected);
+    }
+
+    @Override
+    public void setAdmission(
+            int table, RequestClass requestClass, double admittedShare, int retryPolicy) {
+        distributor.setAdmission(table, requestClass, admittedShare, retryPolicy);
+    }
+
+    @Override
+    public void bindProxy(int table, Proxy proxy, BitSet requestClasses) {
+        distributor.bindProxy(table, proxy, requestClasses);
+    }
+
+    @Override
+    public void requestAcknowledgement(int acknowledgementId) {
+        distributor.requestAcknowledgement(acknowledgementId);
+    }
+
+    @Override
+    public void checkHealth(Endpoint endpoint) {
+        healthChecker.check(endpoints.find(endpoint.id));
+    }
+
+    @Override
+    public void sendToPeers(byte[] payload) {
+        // no decision asks for it
+    }
+
+    @Override
+    public void watchEndpointList() {
+        // the watch is always open
+    }
+
+    @Override
+    public void setTimer(int timerId, double dueMillis) {
+        loop.scheduleAt(dueMillis - epochOffsetMillis, () -> beginInput().timerFired(timerId));
+    }
+
+    @Override
+    public void log(String text) {
+        eventLog.log(text);
+    }
+}
--- a/src/main/java/sprucelanding/platform/Named.java
+++ b/src/main/java/sprucelanding/runtime/server/DiscoveredEndpoint.java
@@ -1,17 +1,17 @@
-package sprucelanding.platform;
+package sprucelanding.runtime.server;
 
 import java.net.InetSocketAddress;
-import sprucelanding.Choice;
+import sprucelanding.control.decision.RoutingController;
 
 /** A replica as discovery names it. */
-final class Named {
+final class DiscoveredEndpoint {
     final long id;
     final String uid;
-    InetSocketAddress at;
-    Choice.Stage stage = Choice.Stage.GONE;
+    InetSocketAddress address;
+    RoutingController.EndpointState state = RoutingController.EndpointState.GONE;
 
     /** When it was told to be gone, ms on the module's clock. */
-    double goneAt;
+    double goneAtMillis;
 
     int zone;
     int kind;
@@ -21,12 +21,12 @@
     double bootMillis;
 
     /** That start is new, and not taken in yet. */
-    boolean started;
+    boolean startPending;
 
     /** The same on the module's clock. */
-    double startedAt;
+    double startedAtMillis;
 
-    Named(long id, String uid) {
+    DiscoveredEndpoint(long id, String uid) {
         this.id = id;
         this.uid = uid;
     }
--- a/src/main/java/sprucelanding/platform/Posting.java
+++ b/src/main/java/sprucelanding/runtime/server/NodeConfig.java
@@ -1,4 +1,4 @@
-package sprucelanding.platform;
+package sprucelanding.runtime.server;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
@@ -9,27 +9,27 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import sprucelanding.opening.Malformed;
-import sprucelanding.opening.Opening;
+import sprucelanding.control.settings.MalformedInputException;
+import sprucelanding.control.settings.SettingsReader;
 
 /**
  * What a governor is told when it is posted: its place, its limits, the list as last held, and what
  * the site states.
  */
-final class Posting {
+final class NodeConfig {
     private final JsonObject root;
 
-    private Posting(JsonObject root) {
+    private NodeConfig(JsonObject root) {
         this.root = root;
     }
 
     /** Throws Malformed, which names the field, or IOException. */
-    static Posting read(Path file) throws IOException {
+    static NodeConfig read(Path configFile) throws IOException {
         try {
-            return new Posting(
-                    Json.parse(Files.readString(file, StandardCharsets.UTF_8)).asObject());
+            return new NodeConfig(
+                    Json.parse(Files.readString(configFile, StandardCharsets.UTF_8)).asObject());
         } catch (ParseException | UnsupportedOperationException e) {
-            throw new Malformed("no JSON object: " + e.getMessage());
+            throw new MalformedInputException("no JSON object: " + e.getMessage());
         }
     }
 
@@ -37,12 +37,12 @@
         return root.getString("name", "governor");
     }
 
-    InetSocketAddress listen() {
-        return address("listen");
+    InetSocketAddress listenAddress() {
+        return parseAddress("listen");
     }
 
-    InetSocketAddress discovery() {
-        return address("discovery");
+    InetSocketAddress discoveryAddress() {
+        return parseAddress("discovery");
     }
 
     /** For random numbers: hexadecimal digits, or any text. */
@@ -60,7 +60,7 @@
     }
 
     /** Descriptors that this process may hold. */
-    int sockets() {
+    int maxDescriptors() {
         JsonValue limits = root.get("limits");
         JsonValue sockets =
                 limits != null && limits.isObject() ? limits.asObject().get("sockets") : null;
@@ -68,47 +68,52 @@
     }
 
     /** The list as this governor last had it, or null. */
-    JsonObject known() {
+    JsonObject lastKnownList() {
         JsonValue known = root.get("known");
         return known != null && known.isObject() ? known.asObject() : null;
     }
 
-    Opening opening() {
+    SettingsReader settings() {
         JsonValue settings = root.get("settings");
         if (settings == null || !settings.isObject()) {
-            throw new Malformed("settings: not given");
+            throw new MalformedInputException("settings: not given");
         }
-        return new Opening(settings.asObject());
+        return new SettingsReader(settings.asObject());
     }
 
-    private InetSocketAddress address(String field) {
+    private InetSocketAddress parseAddress(String field) {
         JsonValue value = root.get(field);
-        InetSocketAddress at =
-                value != null && value.isString() ? address(value.asString(), field) : null;
-        if (at == null) {
-            throw new Malformed(field + ": no address");
+        InetSocketAddress parsed =
+                value != null && value.isString() ? parseAddress(value.asString(), field) : null;
+        if (parsed == null) {
+            throw new MalformedInputException(field + ": no address");
         }
-        return at;
+        return parsed;
     }
 
     /** HOST:PORT with a numeric host; throws Malformed naming the field. */
-    static InetSocketAddress address(String text, String field) {
+    static InetSocketAddress parseAddress(String text, String field) {
         int colon = text.lastIndexOf(':');
         String host = colon < 1 ? "" : text.substring(0, colon);
         boolean numeric =
-                !host.isEmpty() && host.chars().allMatch(c -> c >= '0' && c <= '9' || c == '.');
+                !host.isEmpty()
+                        && host.chars()
+                                .allMatch(
+                                        character ->
+                                                character >= '0' && character <= '9'
+                                                        || character == '.');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
             if (numeric && port > 0 && port < 65_536) {
-                InetSocketAddress at = new InetSocketAddress(host, port);
-                if (!at.isUnresolved()) {
-                    return at;
+                InetSocketAddress parsed = new InetSocketAddress(host, port);
+                if (!parsed.isUnresolved()) {
+                    return parsed;
                 }
             }
         } catch (NumberFormatException e) {
             // said below
         }
-        throw new Malformed(
+        throw new MalformedInputException(
                 field + ": no address: " + (text.length() > 60 ? text.substring(0, 60) : text));
     }
 }
--- a/src/main/java/sprucelanding/platform/package-info.java
+++ b/src/main/java/sprucelanding/runtime/server/package-info.java
@@ -4,4 +4,4 @@
  * replicas; all of them tell Desk, which lets the decision module decide at most once a tick and
  * writes each joined proxy what Keeps says it is to be sent.
  */
-package sprucelanding.platform;
+package sprucelanding.runtime.server;
--- a/src/main/java/sprucelanding/emulator/Demand.java
+++ b/src/main/java/sprucelanding/simulation/emulator/Demand.java
@@ -1,4 +1,4 @@
-package sprucelanding.emulator;
+package sprucelanding.simulation.emulator;
 
 /** What one proxy's clients ask for first, before any try of theirs is repeated. */
 public interface Demand {
@@ -6,10 +6,10 @@
      * At, in ms of the day; product below 0: nothing, but look again then. Work in ms on a core of
      * speed 1.
      */
-    record Ask(double at, int product, double work) {}
+    record Arrival(double at, int requestClass, double work) {}
 
     /**
      * The next one after a time, if clients ask times as much as usual; null: nothing more comes.
      */
-    Ask next(double after, double times);
+    Arrival nextArrival(double afterMillis, double factor);
 }
--- a/src/main/java/sprucelanding/emulator/Policy.java
+++ b/src/main/java/sprucelanding/simulation/emulator/RoutingPolicy.java
@@ -1,7 +1,7 @@
-package sprucelanding.emulator;
+package sprucelanding.simulation.emulator;
 
 /** Whose tables proxies go by. All but the governors' are baselines, set without a channel. */
-public enum Policy {
+public enum RoutingPolicy {
     GOVERNORS,
     /** All replicas evenly, as listed at the begin. */
     EVEN,
--- a/src/main/java/sprucelanding/emulator/package-info.java
+++ b/src/main/java/sprucelanding/simulation/emulator/package-info.java
@@ -3,4 +3,4 @@
  * project models them, around the very core that governs in service. One thread; the same script
  * and settings give the same day, to the last bit.
  */
-package sprucelanding.emulator;
+package sprucelanding.simulation.emulator;
--- a/src/main/java/sprucelanding/expect/Expectations.java
+++ b/src/main/java/sprucelanding/simulation/expectation/Expectations.java
@@ -1,4 +1,4 @@
-package sprucelanding.expect;
+package sprucelanding.simulation.expectation;
 
 import java.util.List;
 
--- a/src/main/java/sprucelanding/expect/package-info.java
+++ b/src/main/java/sprucelanding/simulation/expectation/package-info.java
@@ -3,4 +3,4 @@
  * time, fed by what a fleet of stand-ins would tell if traffic went by the tables, without any
  * traffic. No I/O but the reading of files.
  */
-package sprucelanding.expect;
+package sprucelanding.simulation.expectation;
--- a/src/main/java/sprucelanding/lab/Charts.java
+++ b/src/main/java/sprucelanding/simulation/experiment/Charts.java
@@ -1,4 +1,4 @@
-package sprucelanding.lab;
+package sprucelanding.simulation.experiment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.awt.Color;
@@ -27,13 +27,15 @@
     /** Service by 5 s of several trials of a day, one line each. */
     static void service(Path folder, String name, List<JsonNode> trials) throws IOException {
         XYSeriesCollection lines = new XYSeriesCollection();
-        for (JsonNode t : trials) {
+        for (JsonNode trial : trials) {
             XYSeries line =
                     new XYSeries(
-                            t.path("setting").asText() + ", seed " + t.path("seed").asLong(),
+                            trial.path("setting").asText()
+                                    + ", seed "
+                                    + trial.path("seed").asLong(),
                             false,
                             true);
-            JsonNode windows = t.path("windows");
+            JsonNode windows = trial.path("windows");
             for (int i = 0; i < windows.size(); i++) {
                 line.add(i * WINDOW, windows.get(i).asDouble());
             }
@@ -53,10 +55,10 @@
             int from)
             throws IOException {
         XYSeriesCollection lines = new XYSeriesCollection();
-        for (int c = 0; c < names.size(); c++) {
-            XYSeries line = new XYSeries(names.get(c), false, true);
+        for (int column = 0; column < names.size(); column++) {
+            XYSeries line = new XYSeries(names.get(column), false, true);
             for (JsonNode row : trial.path("samples")) {
-                line.add(row.get(0).asDouble(), row.path(from + c).asDouble());
+                line.add(row.get(0).asDouble(), row.path(from + column).asDouble());
             }
             lines.addSeries(line);
         }
--- a/src/main/java/sprucelanding/lab/Experiment.java
+++ b/src/main/java/sprucelanding/simulation/experiment/Experiment.java
@@ -1,9 +1,9 @@
-package sprucelanding.lab;
+package sprucelanding.simulation.experiment;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import sprucelanding.emulator.Policy;
+import sprucelanding.simulation.emulator.RoutingPolicy;
 
 /** An experiment as it is written; lab.cue says what each is. Times in ms. */
 public record Experiment(
@@ -14,8 +14,8 @@
         double seconds,
         Search search) {
     public record Setting(String name, String with, String policy) {
-        Policy whose() {
-            return Policy.valueOf(policy);
+        RoutingPolicy routingPolicy() {
+            return RoutingPolicy.valueOf(policy);
         }
     }
 
@@ -36,20 +36,20 @@
     public void check() {
         Set<String> names = new HashSet<>();
         settings.forEach(
-                s -> {
-                    if (!names.add(s.name)) {
+                setting -> {
+                    if (!names.add(setting.name)) {
                         throw new IllegalArgumentException(
-                                "settings: two are named \"" + s.name + "\"");
+                                "settings: two are named \"" + setting.name + "\"");
                     }
                 });
         if (days.isEmpty() || settings.isEmpty()) {
             throw new IllegalArgumentException("days, settings: expected one of each at least");
         }
         if (search != null) {
-            for (String each : List.of(search.setting, search.against)) {
-                if (!names.contains(each)) {
+            for (String name : List.of(search.setting, search.against)) {
+                if (!names.contains(name)) {
                     throw new IllegalArgumentException(
-                            "search: \"" + each + "\" is none of the settings " + names);
+                            "search: \"" + name + "\" is none of the settings " + names);
                 }
             }
             if (search.kinds.isEmpty()) {
@@ -58,7 +58,10 @@
         }
     }
 
-    Setting setting(String wanted) {
-        return settings.stream().filter(s -> s.name.equals(wanted)).findFirst().orElseThrow();
+    Setting setting(String name) {
+        return settings.stream()
+                .filter(setting -> setting.name.equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 }
--- a/src/main/java/sprucelanding/lab/Results.java
+++ b/src/main/java/sprucelanding/simulation/experiment/ResultStore.java
@@ -1,4 +1,4 @@
-package sprucelanding.lab;
+package sprucelanding.simulation.experiment;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -13,13 +13,13 @@
 import org.h2.mvstore.MVStoreException;
 
 /** Results in a file, by the key of their trial; each is safe on the disk once put returns. */
-public final class Results implements AutoCloseable {
+public final class ResultStore implements AutoCloseable {
     private final ObjectMapper json = new ObjectMapper();
     private final MVStore store;
-    private final MVMap<String, String> all;
+    private final MVMap<String, String> resultsByKey;
 
     /** Throws IOException if the file is not to be had, or in use. */
-    public Results(Path file) throws IOException {
+    public ResultStore(Path file) throws IOException {
         try {
             store =
                     new MVStore.Builder()
@@ -30,22 +30,22 @@
         } catch (MVStoreException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
-        all = store.openMap("trials");
+        resultsByKey = store.openMap("trials");
     }
 
     boolean has(String key) {
-        return all.containsKey(key);
+        return resultsByKey.containsKey(key);
     }
 
     synchronized void put(String key, ObjectNode result) {
-        all.put(key, result.toString());
+        resultsByKey.put(key, result.toString());
         store.commit();
         store.sync();
     }
 
     JsonNode get(String key) throws IOException {
         try {
-            return json.readTree(all.get(key));
+            return json.readTree(resultsByKey.get(key));
         } catch (JsonProcessingException e) {
             throw new IOException(
                     "result " + key + " cannot be read: " + e.getOriginalMessage(), e);
@@ -53,12 +53,12 @@
     }
 
     /** All that there are. */
-    public List<JsonNode> all() throws IOException {
-        List<JsonNode> list = new ArrayList<>();
-        for (String key : all.keySet()) {
-            list.add(get(key));
+    public List<JsonNode> allResults() throws IOException {
+        List<JsonNode> collected = new ArrayList<>();
+        for (String key : resultsByKey.keySet()) {
+            collected.add(get(key));
         }
-        return list;
+        return collected;
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/sprucelanding/simulation/experiment/Trial.java
@@ -0,0 +1,100 @@
+package sprucelanding.simulation.experiment;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import sprucelanding.config.records.InvalidRecordsException;
+import sprucelanding.simulation.emulator.Emulation;
+import sprucelanding.simulation.emulator.RoutingPolicy;
+import sprucelanding.simulation.rules.Verdict;
+import sprucelanding.simulation.scenario.Scenario;
+
+/**
+ * One emulated day of an experiment: what it is made of, by its whole text, and what came of it.
+ */
+record Trial(
+        String scenarioName,
+        String scenarioText,
+        Scenario scenario,
+        String setting,
+        String overlayName,
+        String overlay,
+        RoutingPolicy policy,
+        long seed,
+        double durationMillis) {
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    /** The same trial has the same key, whatever its files are named; another text has another. */
+    String key() {
+        try {
+            MessageDigest digest = MessageDigest.getInstance("SHA-256");
+            for (String part :
+                    new String[] {
+                        scenarioText,
+                        overlay == null ? "" : overlay,
+                        policy.name(),
+                        Long.toString(seed),
+                        Double.toString(durationMillis)
+                    }) {
+                digest.update(part.getBytes(StandardCharsets.UTF_8));
+                digest.update((byte) 0);
+            }
+            return HexFormat.of().formatHex(digest.digest(), 0, 12);
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    ObjectNode run() throws InvalidRecordsException {
+        Scenario seeded = scenario.withSeed(seed);
+        Emulation.Result result =
+                Emulation.play(
+                        seeded,
+                        durationMillis,
+                        Emulation.governorConfigs(seeded, overlayName, overlay),
+                        policy,
+                        Emulation.EmulationListener.NONE);
+        ObjectNode node =
+                JSON.createObjectNode()
+                        .put("day", scenarioName)
+                        .put("setting", setting)
+                        .put("policy", policy.name())
+                        .put("seed", seed)
+                        .put("lasts", durationMillis)
+                        .put("service", result.service())
+                        .put("worst10s", result.worstTenSeconds())
+                        .put("txns", result.requests())
+                        .put("tries", result.attempts())
+                        .put("inForceP50", result.acknowledgementP50Millis())
+                        .put("inForceP99", result.acknowledgementP99Millis())
+                        .put("bugs", result.internalErrors())
+                        .put("hash", Long.toHexString(result.hash()))
+                        .put("tookMs", result.wallMillis())
+                        .put("simulated", true)
+                        .put("overlay", overlay == null ? "" : overlay);
+        node.set("products", result.outcome().figures().path("products"));
+        ArrayNode broken = node.putArray("broken");
+        result.verdicts().stream()
+                .filter(verdict -> !verdict.kept())
+                .map(Verdict::rule)
+                .forEach(broken::add);
+        ArrayNode windows = node.putArray("windows");
+        for (double window : result.serviceByWindow()) {
+            windows.add(Math.round(window * 1e4) / 1e4);
+        }
+        ArrayNode samples = node.putArray("samples");
+        result.samples()
+                .forEach(
+                        sample -> {
+                            ArrayNode row = samples.addArray();
+                            for (double value : sample) {
+                                row.add(Math.round(value * 1e3) / 1e3);
+                            }
+                        });
+        return node;
+    }
+}
--- a/src/main/java/sprucelanding/lab/package-info.java
+++ b/src/main/java/sprucelanding/simulation/experiment/package-info.java
@@ -3,4 +3,4 @@
  * of their settings, compared in pairs with intervals, and drawn; and a search for the day on which
  * a setting loses most.
  */
-package sprucelanding.lab;
+package sprucelanding.simulation.experiment;
--- a/src/main/java/sprucelanding/standin/PeerRelay.java
+++ b/src/main/java/sprucelanding/simulation/loopback/DatagramRelay.java
@@ -1,4 +1,4 @@
-package sprucelanding.standin;
+package sprucelanding.simulation.loopback;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -7,32 +7,33 @@
 import java.nio.channels.DatagramChannel;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
-import sprucelanding.loop.Loop;
+import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
  * The way of datagrams from one governor to another: it can be cut, and loses a share of them. All
  * calls on its loop.
  */
-public final class PeerRelay {
-    private final SplittableRandom chance;
+public final class DatagramRelay {
+    private final SplittableRandom random;
     private final DatagramChannel channel;
-    private double loses;
+    private double lossShare;
 
-    public PeerRelay(Loop loop, InetSocketAddress to, BooleanSupplier open, long seed) {
-        this.chance = new SplittableRandom(seed);
+    public DatagramRelay(
+            EventLoop loop, InetSocketAddress target, BooleanSupplier isOpen, long seed) {
+        this.random = new SplittableRandom(seed);
         this.channel =
-                loop.datagrams(
+                loop.receiveDatagrams(
                         new InetSocketAddress("127.0.0.1", 0),
                         (from, packet) -> {
-                            if (open.getAsBoolean() && chance.nextDouble() >= loses) {
-                                forward(packet, to);
+                            if (isOpen.getAsBoolean() && random.nextDouble() >= lossShare) {
+                                forward(packet, target);
                             }
                         });
     }
 
-    private void forward(byte[] packet, InetSocketAddress to) {
+    private void forward(byte[] packet, InetSocketAddress target) {
         try {
-            channel.send(ByteBuffer.wrap(packet), to);
+            channel.send(ByteBuffer.wrap(packet), target);
         } catch (IOException e) {
             throw new UncheckedIOException(e); // told by the loop
         }
@@ -42,7 +43,7 @@
         return channel.socket().getLocalPort();
     }
 
-    public void loses(double share) {
-        loses = share;
+    public void setLossShare(double share) {
+        lossShare = share;
     }
 }
