--- a/src/main/java/sprucelanding/standin/DeviceStand.java
+++ b/src/main/java/sprucelanding/simulation/loopback/SimulatedDevice.java
@@ -1,4 +1,4 @@
-package sprucelanding.standin;
+package sprucelanding.simulation.loopback;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -35,12 +35,12 @@
 import org.apache.sshd.server.command.AsyncCommand;
 import org.apache.sshd.server.session.SessionFactory;
 import org.apache.sshd.server.subsystem.SubsystemFactory;
-import sprucelanding.loop.Loop;
-import sprucelanding.markup.Elem;
-import sprucelanding.markup.Framing;
-import sprucelanding.model.Line;
-import sprucelanding.model.Route;
-import sprucelanding.model.Tables;
+import sprucelanding.front.xml.NetconfFraming;
+import sprucelanding.front.xml.XmlElement;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.simulation.model.ProxyTables;
+import sprucelanding.simulation.model.Route;
+import sprucelanding.simulation.model.WeightedEndpoint;
 
 /**
  * The management side of a device that takes NETCONF edits: it dials its governor (RFC 8071), is
@@ -48,67 +48,69 @@
  * of the module sprucelanding-proxy, locks and commits on trial. By script it answers late or
  * never, rejects, has its lock held, loses a session, reboots, or is changed by others.
  */
-public final class DeviceStand {
+public final class SimulatedDevice {
     private static final String BASE = "urn:ietf:params:xml:ns:netconf:base:1.0";
     private static final String CAPABILITY = "<capability>urn:ietf:params:netconf:";
-    private static final int READ = 32_768;
-    private static final int LARGEST = 16 << 20;
-    private static final double NOTIFIES = 1000;
+    private static final int READ_BUFFER_BYTES = 32_768;
+    private static final int MAX_MESSAGE_BYTES = 16 << 20;
+    private static final double NOTIFICATION_MILLIS = 1000;
 
     /** One line or product of the configuration. */
-    private record Row(Map<String, String> leaves) {}
+    private record ConfigEntry(Map<String, String> leaves) {}
 
     /** A datastore: lines by table and replica, and products by name. */
-    private static final class Store {
-        final TreeMap<Integer, TreeMap<Long, Row>> tables = new TreeMap<>();
-        final TreeMap<String, Row> products = new TreeMap<>();
-
-        Store copy() {
-            Store copy = new Store();
-            tables.forEach((t, lines) -> copy.tables.put(t, new TreeMap<>(lines)));
-            copy.products.putAll(products);
+    private static final class Datastore {
+        final TreeMap<Integer, TreeMap<Long, ConfigEntry>> entriesByTable = new TreeMap<>();
+        final TreeMap<String, ConfigEntry> entriesByClass = new TreeMap<>();
+
+        Datastore copy() {
+            Datastore copy = new Datastore();
+            entriesByTable.forEach(
+                    (table, entries) -> copy.entriesByTable.put(table, new TreeMap<>(entries)));
+            copy.entriesByClass.putAll(entriesByClass);
             return copy;
         }
     }
 
     private final String name;
     private final String zone;
-    private final double usual;
-    private final PublicKey governor;
+    private final double expectedRate;
+    private final PublicKey governorKey;
     private final SshServer server;
     private final KeyPair key;
-    private volatile Store running = new Store();
-    private Store candidate;
+    private volatile Datastore running = new Datastore();
+    private Datastore candidate;
 
     /** What a commit on trial replaced, and its name. */
-    private Store before;
+    private Datastore rollback;
 
-    private String trial = "";
-    private Loop.Timer trialEnds;
-    private Connection current;
+    private String pendingPersistId = "";
+    private EventLoop.Timer rollbackTimer;
+    private Connection connection;
     private double lockedUntil;
-    private int mute;
-    private long forbidden;
-    private double breaksOnTrial;
-    private volatile boolean tookBack;
+    private int responsesToDrop;
+    private long forbiddenEndpoint;
+    private double breakAfterCommitMillis;
+    private volatile boolean rolledBack;
 
     /**
      * @param governor the key that a governor must hold to come in
      * @param key its own host key
      */
-    public DeviceStand(String name, String zone, double usual, PublicKey governor, KeyPair key)
+    public SimulatedDevice(
+            String name, String zone, double expectedRate, PublicKey governor, KeyPair key)
             throws IOException {
         this.name = name;
         this.zone = zone;
-        this.usual = usual;
-        this.governor = governor;
+        this.expectedRate = expectedRate;
+        this.governorKey = governor;
         this.key = key;
         server = SshServer.setUpDefaultServer();
         server.setHost("127.0.0.1");
         CoreModuleProperties.TCP_NODELAY.set(server, true);
         server.setKeyPairProvider(KeyPairProvider.wrap(key));
         server.setPublickeyAuthenticator(
-                (user, offered, session) -> KeyUtils.compareKeys(offered, this.governor));
+                (user, offered, session) -> KeyUtils.compareKeys(offered, this.governorKey));
         server.setSubsystemFactories(
                 List.of(
                         new SubsystemFactory() {
@@ -120,7 +122,7 @@
                             @Override
                             public org.apache.sshd.server.command.Command createSubsystem(
                                     ChannelSession channel) {
-                                return current.new Subsystem();
+                                return connection.new Subsystem();
                             }
                         }));
         server.setNioWorkers(1);
@@ -128,75 +130,75 @@
     }
 
     /** A new key of the kind that the stand-ins use. */
-    public static KeyPair key() {
+    public static KeyPair generateKey() {
         try {
-            KeyPairGenerator maker = KeyPairGenerator.getInstance("EC");
-            maker.initialize(256);
-            return maker.generateKeyPair();
+            KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
+            generator.initialize(256);
+            return generator.generateKeyPair();
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException("no EC keys here", e);
         }
     }
 
     /** Its name and host key as a line of the governor's file of devices. */
-    public String pin() {
+    public String knownHostLine() {
         return name + " " + PublicKeyEntry.toString(key.getPublic());
     }
 
     /** Another manager holds its lock for so long. */
-    public void locked(double ms) {
-        lockedUntil = Loop.now() + ms;
+    public void lockFor(double millis) {
+        lockedUntil = EventLoop.nowMillis() + millis;
     }
 
     /** So many of its next answers never come, though what was asked is done. */
-    public void mute(int answers) {
-        mute = answers;
+    public void dropResponses(int responses) {
+        responsesToDrop = responses;
     }
 
     /**
      * It takes no edit that lays or changes a line of this replica, and tells which it was; 0: it
      * takes all.
      */
-    public void forbids(long replica) {
-        forbidden = replica;
+    public void forbidEndpoint(long endpointId) {
+        forbiddenEndpoint = endpointId;
     }
 
     /**
      * Its session breaks right after the next commit on trial; it takes that back after so long
      * unless it is confirmed.
      */
-    public void breaksOnTrial(double ms) {
-        breaksOnTrial = ms;
+    public void breakBeforeConfirm(double millis) {
+        breakAfterCommitMillis = millis;
     }
 
     /** Whether the last commit on trial ran out. */
-    public boolean tookBack() {
-        return tookBack;
+    public boolean rolledBack() {
+        return rolledBack;
     }
 
     /**
      * What it holds was committed on trial by another governor, which is gone; the device takes all
      * of it back after so long, silently.
      */
-    public void triedByAnother(Loop loop, double ms) {
-        loop.in(
-                ms,
+    public void rollBackAfter(EventLoop loop, double millis) {
+        loop.schedule(
+                millis,
                 () -> {
-                    running = new Store();
-                    tookBack = true;
-                    if (current != null) {
-                        current.apply();
+                    running = new Datastore();
+                    rolledBack = true;
+                    if (connection != null) {
+                        connection.apply();
                     }
                 });
     }
 
     /** Another manager adds a line that nobody asked for. */
-    public void drifts() {
-        running.tables
-                .computeIfAbsent(0, t -> new TreeMap<>())
+    public void driftConfiguration() {
+        running.entriesByTable
+                .computeIfAbsent(0, ignored -> new TreeMap<>())
                 .put(
                         4_000_000_000L,
-                        new Row(
+                        new ConfigEntry(
                                 Map.of(
                                         "host",
                                         "127.0.0.1",
@@ -206,39 +208,40 @@
                                         "1",
                                         "draining",
                                         "true")));
-        if (current != null) {
-            current.apply();
-            current.notifies(
+        if (connection != null) {
+            connection.apply();
+            connection.sendNotification(
                     "<netconf-config-change xmlns=\"urn:ietf:params:xml:ns:yang:ietf-netconf-notifications\"/>");
         }
     }
 
     /** Back to its startup configuration, which is empty. */
-    void reboots() {
-        running = new Store();
+    void reboot() {
+        running = new Datastore();
         candidate = null;
-        endTrial();
+        endConfirmedCommit();
     }
 
     /** A line of its running configuration: w or d and the weight; null for none. */
-    public String line(int table, long replica) {
-        Row row = running.tables.getOrDefault(table, new TreeMap<>()).get(replica);
-        return row == null
+    public String entryText(int table, long endpointId) {
+        ConfigEntry entry =
+                running.entriesByTable.getOrDefault(table, new TreeMap<>()).get(endpointId);
+        return entry == null
                 ? null
-                : (row.leaves.get("draining").equals("true") ? "d" : "w")
-                        + row.leaves.get("weight");
+                : (entry.leaves.get("draining").equals("true") ? "d" : "w")
+                        + entry.leaves.get("weight");
     }
 
     /** Whether its products have routes. */
-    public boolean routed() {
-        return !running.products.isEmpty();
+    public boolean hasRoutes() {
+        return !running.entriesByClass.isEmpty();
     }
 
     /** It sends these bytes in place of a reply. */
-    public void garbles(byte[] bytes) {
-        if (current != null) {
-            current.out.add(bytes);
-            current.next();
+    public void sendGarbled(byte[] bytes) {
+        if (connection != null) {
+            connection.outbound.add(bytes);
+            connection.writeNext();
         }
     }
 
@@ -246,60 +249,61 @@
         server.stop(true);
     }
 
-    private void endTrial() {
-        before = null;
-        trial = "";
-        if (trialEnds != null) {
-            trialEnds.cancel();
-            trialEnds = null;
+    private void endConfirmedCommit() {
+        rollback = null;
+        pendingPersistId = "";
+        if (rollbackTimer != null) {
+            rollbackTimer.cancel();
+            rollbackTimer = null;
         }
     }
 
-    Side side(
-            Loop loop,
+    ControlChannel openChannel(
+            EventLoop loop,
             int port,
-            Tables<InetSocketAddress> tables,
-            LoadPeer loads,
-            Side.Heard heard) {
-        current = new Connection(loop, port, tables, loads, heard);
-        return current;
+            ProxyTables<InetSocketAddress> tables,
+            LoadReportClient loadReports,
+            ControlChannel.ControlChannelListener listener) {
+        connection = new Connection(loop, port, tables, loadReports, listener);
+        return connection;
     }
 
     /** One dialling of a governor and the session on it. */
-    private final class Connection implements Side {
-        private static final String ALIVE = "keepalive@openssh.com";
-        private final Loop loop;
+    private final class Connection implements ControlChannel {
+        private static final String KEEPALIVE_REQUEST = "keepalive@openssh.com";
+        private final EventLoop loop;
         private final int port;
-        private final Tables<InetSocketAddress> tables;
-        private final LoadPeer loads;
-        private final Heard heard;
-        private final Framing framing = new Framing(LARGEST, this::message);
-        private final ArrayDeque<byte[]> out = new ArrayDeque<>();
-        private final ArrayDeque<byte[]> unread = new ArrayDeque<>();
+        private final ProxyTables<InetSocketAddress> tables;
+        private final LoadReportClient loadReports;
+        private final ControlChannelListener listener;
+        private final NetconfFraming framing =
+                new NetconfFraming(MAX_MESSAGE_BYTES, this::onMessage);
+        private final ArrayDeque<byte[]> outbound = new ArrayDeque<>();
+        private final ArrayDeque<byte[]> unreadInput = new ArrayDeque<>();
         private IoSession session;
         private IoOutputStream stream;
         private boolean writing;
         private boolean closed;
         private boolean locked;
         private boolean subscribed;
-        private boolean deaf;
-        private double answersAfter;
-        private int rejects;
+        private boolean readsPaused;
+        private double responseDelayMillis;
+        private int messagesToReject;
         private long edits;
-        private int editLines;
-        private String voice = "";
+        private int editedEntries;
+        private String controlPlaneId = "";
 
         Connection(
-                Loop loop,
+                EventLoop loop,
                 int port,
-                Tables<InetSocketAddress> tables,
-                LoadPeer loads,
-                Heard heard) {
+                ProxyTables<InetSocketAddress> tables,
+                LoadReportClient loadReports,
+                ControlChannelListener listener) {
             this.loop = loop;
             this.port = port;
             this.tables = tables;
-            this.loads = loads;
-            this.heard = heard;
+            this.loadReports = loadReports;
+            this.listener = listener;
         }
 
         @Override
@@ -310,20 +314,22 @@
             connector
                     .connect(new InetSocketAddress("127.0.0.1", port), null, null)
                     .addListener(
-                            (IoConnectFuture f) -> {
-                                if (f.isConnected()) {
-                                    session = f.getSession();
+                            (IoConnectFuture future) -> {
+                                if (future.isConnected()) {
+                                    session = future.getSession();
                                     session.addCloseFutureListener(
-                                            x -> loop.hand(() -> end("the session broke")));
+                                            ignored ->
+                                                    loop.tryExecute(
+                                                            () -> fail("the session broke")));
                                 } else {
-                                    loop.hand(() -> end("no connection"));
+                                    loop.tryExecute(() -> fail("no connection"));
                                 }
                             });
-            loop.in(
+            loop.schedule(
                     4000,
                     () -> {
                         if (stream == null) {
-                            end("nobody asked for the subsystem");
+                            fail("nobody asked for the subsystem");
                         }
                     });
         }
@@ -332,37 +338,40 @@
          * It looks whether the governor still answers, as RFC 8071 (section 4.1) wants it of
          * devices.
          */
-        private void looks() {
+        private void sendKeepalive() {
             if (closed || stream == null) {
                 return;
             }
             boolean[] answered = new boolean[1];
             try {
                 Session ssh = AbstractSession.getSession(session);
-                Buffer ask = ssh.createBuffer(SshConstants.SSH_MSG_GLOBAL_REQUEST);
-                ask.putString(ALIVE);
-                ask.putBoolean(true);
-                ssh.request(ask, ALIVE, (command, reply) -> loop.hand(() -> answered[0] = true));
+                Buffer request = ssh.createBuffer(SshConstants.SSH_MSG_GLOBAL_REQUEST);
+                request.putString(KEEPALIVE_REQUEST);
+                request.putBoolean(true);
+                ssh.request(
+                        request,
+                        KEEPALIVE_REQUEST,
+                        (command, reply) -> loop.tryExecute(() -> answered[0] = true));
             } catch (IOException | RuntimeException e) {
                 return; // it is closing: its end is told by itself
             }
-            loop.in(
-                    SILENT,
+            loop.schedule(
+                    KEEPALIVE_TIMEOUT_MILLIS,
                     () -> {
                         if (!answered[0]) {
-                            end("silent");
+                            fail("silent");
                         } else {
-                            loop.in(LOOKS, this::looks);
+                            loop.schedule(KEEPALIVE_MILLIS, this::sendKeepalive);
                         }
                     });
         }
 
-        private void end(String why) {
+        private void fail(String reason) {
             if (!closed) {
                 closed = true;
                 locked = false;
                 hangUp();
-                heard.broke(why);
+                listener.onBroken(reason);
             }
         }
 
@@ -383,20 +392,20 @@
         }
 
         @Override
-        public void answersAfter(double ms) {
-            answersAfter = ms;
+        public void setResponseDelay(double millis) {
+            responseDelayMillis = millis;
         }
 
         @Override
-        public void rejects(int messages) {
-            rejects = messages;
+        public void rejectNext(int messages) {
+            messagesToReject = messages;
         }
 
         @Override
-        public void readsNothing(boolean on) {
-            deaf = on;
-            while (!on && !unread.isEmpty()) {
-                bytes(unread.poll());
+        public void setReadsPaused(boolean enabled) {
+            readsPaused = enabled;
+            while (!enabled && !unreadInput.isEmpty()) {
+                onBytes(unreadInput.poll());
             }
         }
 
@@ -431,7 +440,7 @@
 
             @Override
             public void start(ChannelSession channel, Environment env) {
-                loop.hand(
+                loop.tryExecute(
                         () ->
                                 write(
                                         "<hello xmlns=\""
@@ -455,82 +464,82 @@
                                                 + "capability:interleave:1.0</capability>"
                                                 + "<capability>urn:sprucelanding:proxy?module=sprucelanding-proxy</capability>"
                                                 + "</capabilities><session-id>1</session-id></hello>"));
-                loop.hand(() -> loop.in(LOOKS, () -> looks()));
-                read(new ByteArrayBuffer(READ));
+                loop.tryExecute(() -> loop.schedule(KEEPALIVE_MILLIS, () -> sendKeepalive()));
+                read(new ByteArrayBuffer(READ_BUFFER_BYTES));
             }
 
             private void read(ByteArrayBuffer buffer) {
                 in.read(buffer)
                         .addListener(
-                                (IoReadFuture f) -> {
-                                    if (f.getException() == null) {
+                                (IoReadFuture future) -> {
+                                    if (future.getException() == null) {
                                         byte[] bytes = buffer.getCompactData();
-                                        loop.hand(() -> bytes(bytes));
-                                        read(new ByteArrayBuffer(READ));
+                                        loop.tryExecute(() -> onBytes(bytes));
+                                        read(new ByteArrayBuffer(READ_BUFFER_BYTES));
                                     }
                                 });
             }
 
             @Override
             public void destroy(ChannelSession channel) {
-                loop.hand(() -> end("the channel closed"));
+                loop.tryExecute(() -> fail("the channel closed"));
             }
         }
 
-        private void bytes(byte[] bytes) {
-            if (deaf) {
-                unread.add(bytes);
+        private void onBytes(byte[] bytes) {
+            if (readsPaused) {
+                unreadInput.add(bytes);
                 return;
             }
             if (!closed) {
                 try {
-                    framing.received(bytes, 0, bytes.length);
+                    framing.onBytes(bytes, 0, bytes.length);
                 } catch (IOException e) {
-                    end(e.getMessage());
+                    fail(e.getMessage());
                 }
             }
         }
 
         private void write(String text) {
-            out.add(framing.framed(text));
-            next();
+            outbound.add(framing.frame(text));
+            writeNext();
         }
 
-        private void next() {
-            if (writing || closed || out.isEmpty()) {
+        private void writeNext() {
+            if (writing || closed || outbound.isEmpty()) {
                 return;
             }
             writing = true;
             try {
-                stream.writeBuffer(new ByteArrayBuffer(out.poll()))
+                stream.writeBuffer(new ByteArrayBuffer(outbound.poll()))
                         .addListener(
-                                f ->
-                                        loop.hand(
+                                future ->
+                                        loop.tryExecute(
                                                 () -> {
                                                     writing = false;
-                                                    next();
+                                                    writeNext();
                                                 }));
             } catch (IOException | RuntimeException e) {
-                end(e.getMessage());
+                fail(e.getMessage());
             }
         }
 
-        private void message(byte[] bytes) {
+        private void onMessage(byte[] bytes) {
             try {
-                Elem root = Elem.read(bytes);
+                XmlElement root = XmlElement.parse(bytes);
                 if (root.name.equals("hello")) {
-                    framing.chunked();
+                    framing.useChunkedFraming();
                     return;
                 }
                 if (closed) {
                     return;
                 }
-                String id = root.attributes.getOrDefault("message-id", "");
-                Elem op = root.children.get(0);
-                voice = root.attributes.getOrDefault("voice", "");
-                String reply = answer(op);
-                if (mute > 0) {
-                    mute--;
+                String messageId = root.attributes.getOrDefault("message-id", "");
+                XmlElement operation = root.children.get(0);
+                controlPlaneId = root.attributes.getOrDefault("voice", "");
+                String reply = execute(operation);
+                if (responsesToDrop > 0) {
+                    responsesToDrop--;
                     return;
                 }
                 Runnable send =
@@ -538,26 +547,26 @@
                             if (!closed) {
                                 write(
                                         "<rpc-reply message-id=\""
-                                                + id
+                                                + messageId
                                                 + "\" xmlns=\""
                                                 + BASE
                                                 + "\">"
                                                 + reply
                                                 + "</rpc-reply>");
                                 if (reply.equals("<ok/>")
-                                        && op.name.equals("commit")
-                                        && op.child("confirmed") == null) {
-                                    heard.answered(edits, false);
+                                        && operation.name.equals("commit")
+                                        && operation.child("confirmed") == null) {
+                                    listener.onAcknowledged(edits, false);
                                 }
                             }
                         };
-                if (answersAfter > 0) {
-                    loop.in(answersAfter, send);
+                if (responseDelayMillis > 0) {
+                    loop.schedule(responseDelayMillis, send);
                 } else {
                     send.run();
                 }
             } catch (IOException e) {
-                end(e.getMessage());
+                fail(e.getMessage());
             }
         }
 
@@ -575,12 +584,12 @@
                     + "</error-message></rpc-error>";
         }
 
-        private String answer(Elem op) {
-            switch (op.name) {
+        private String execute(XmlElement operation) {
+            switch (operation.name) {
                 case "get-config":
-                    return "<data>" + text() + "</data>";
+                    return "<data>" + configurationXml() + "</data>";
                 case "lock":
-                    if (Loop.now() < lockedUntil) {
+                    if (EventLoop.nowMillis() < lockedUntil) {
                         return error("lock-denied", "held by another manager");
                     }
                     locked = true;
@@ -591,235 +600,240 @@
                     candidate = null;
                     return "<ok/>";
                 case "edit-config":
-                    return edit(op);
+                    return edit(operation);
                 case "validate":
                     return "<ok/>";
                 case "discard-changes":
                     candidate = running.copy();
                     return "<ok/>";
                 case "commit":
-                    return commit(op);
+                    return commit(operation);
                 case "create-subscription":
                     subscribed = true;
-                    loads.notified(Map.of());
-                    notifies();
+                    loadReports.notificationXml(Map.of());
+                    sendNotification();
                     return "<ok/>";
                 default:
-                    return error("operation-not-supported", op.name);
+                    return error("operation-not-supported", operation.name);
             }
         }
 
-        private String edit(Elem op) {
-            Elem routing = op.child("config").child("routing");
+        private String edit(XmlElement operation) {
+            XmlElement routing = operation.child("config").child("routing");
             edits++;
-            editLines = 0;
-            if (rejects > 0) {
-                rejects--;
-                heard.rejected("edit", edits, voice);
-                heard.answered(edits, true);
+            editedEntries = 0;
+            if (messagesToReject > 0) {
+                messagesToReject--;
+                listener.onRejected("edit", edits, controlPlaneId);
+                listener.onAcknowledged(edits, true);
                 return error("invalid-value", "rejected by script");
             }
             if (candidate == null) {
                 candidate = running.copy();
             }
-            Store before = candidate.copy();
-            for (Elem table : routing.all("table")) {
-                int t = Integer.parseInt(table.text("number"));
+            Datastore before = candidate.copy();
+            for (XmlElement table : routing.childrenNamed("table")) {
+                int tableNumber = Integer.parseInt(table.text("number"));
                 if ("remove".equals(table.attributes.get("operation"))) {
-                    candidate.tables.remove(t);
-                    editLines++;
+                    candidate.entriesByTable.remove(tableNumber);
+                    editedEntries++;
                     continue;
                 }
-                TreeMap<Long, Row> lines =
-                        candidate.tables.computeIfAbsent(t, x -> new TreeMap<>());
-                for (Elem line : table.all("line")) {
-                    editLines++;
-                    long replica = Long.parseLong(line.text("replica"));
-                    boolean removes = "remove".equals(line.attributes.get("operation"));
-                    if (!removes && replica == forbidden) {
+                TreeMap<Long, ConfigEntry> entries =
+                        candidate.entriesByTable.computeIfAbsent(
+                                tableNumber, ignored -> new TreeMap<>());
+                for (XmlElement element : table.childrenNamed("line")) {
+                    editedEntries++;
+                    long endpointId = Long.parseLong(element.text("replica"));
+                    boolean remove = "remove".equals(element.attributes.get("operation"));
+                    if (!remove && endpointId == forbiddenEndpoint) {
                         candidate = before; // :rollback-on-error
-                        heard.rejected("edit", edits, voice);
-                        heard.answered(edits, true);
+                        listener.onRejected("edit", edits, controlPlaneId);
+                        listener.onAcknowledged(edits, true);
                         return error(
                                 "invalid-value",
                                 "<error-path>/routing/table[number='"
-                                        + t
+                                        + tableNumber
                                         + "']/line[replica='"
-                                        + replica
+                                        + endpointId
                                         + "']</error-path>",
                                 "not this one");
                     }
-                    if (removes) {
-                        lines.remove(replica);
+                    if (remove) {
+                        entries.remove(endpointId);
                     } else {
-                        lines.put(replica, row(line));
+                        entries.put(endpointId, parseEntry(element));
                     }
                 }
             }
-            for (Elem product : routing.all("product")) {
-                editLines++;
-                candidate.products.put(product.text("name"), row(product));
+            for (XmlElement product : routing.childrenNamed("product")) {
+                editedEntries++;
+                candidate.entriesByClass.put(product.text("name"), parseEntry(product));
             }
             return "<ok/>";
         }
 
-        private Row row(Elem e) {
+        private ConfigEntry parseEntry(XmlElement element) {
             Map<String, String> leaves = new LinkedHashMap<>();
-            e.children.forEach(c -> leaves.put(c.name, c.text()));
-            return new Row(leaves);
+            element.children.forEach(child -> leaves.put(child.name, child.text()));
+            return new ConfigEntry(leaves);
         }
 
-        private String commit(Elem op) {
-            String persisted = op.text("persist-id");
-            if (!persisted.isEmpty()) {
-                if (!persisted.equals(trial)) {
+        private String commit(XmlElement operation) {
+            String confirmedId = operation.text("persist-id");
+            if (!confirmedId.isEmpty()) {
+                if (!confirmedId.equals(pendingPersistId)) {
                     return error("invalid-value", "no commit of that persist-id is on trial");
                 }
-                endTrial();
+                endConfirmedCommit();
                 return "<ok/>";
             }
             if (candidate == null) {
                 return error("operation-failed", "nothing to commit");
             }
-            Store was = running;
+            Datastore previous = running;
             running = candidate.copy();
-            if (op.child("confirmed") != null) {
-                before = was;
-                trial = op.text("persist");
-                if (trialEnds != null) {
-                    trialEnds.cancel();
+            if (operation.child("confirmed") != null) {
+                rollback = previous;
+                pendingPersistId = operation.text("persist");
+                if (rollbackTimer != null) {
+                    rollbackTimer.cancel();
                 }
-                double ends = 1000 * Double.parseDouble(op.text("confirm-timeout"));
-                if (breaksOnTrial > 0) {
-                    ends = breaksOnTrial;
-                    breaksOnTrial = 0;
-                    tookBack = false;
-                    loop.in(0, () -> end("lost between commit and confirm"));
+                double ends = 1000 * Double.parseDouble(operation.text("confirm-timeout"));
+                if (breakAfterCommitMillis > 0) {
+                    ends = breakAfterCommitMillis;
+                    breakAfterCommitMillis = 0;
+                    rolledBack = false;
+                    loop.schedule(0, () -> fail("lost between commit and confirm"));
                 }
-                trialEnds =
-                        loop.in(
+                rollbackTimer =
+                        loop.schedule(
                                 ends,
                                 () -> {
-                                    running = before;
-                                    tookBack = true;
-                                    endTrial();
+                                    running = rollback;
+                                    rolledBack = true;
+                                    endConfirmedCommit();
                                     apply();
                                 });
             } else {
-                endTrial();
+                endConfirmedCommit();
             }
             apply();
-            heard.applied("edit", edits, editLines, voice);
+            listener.onApplied("edit", edits, editedEntries, controlPlaneId);
             return "<ok/>";
         }
 
         /** Puts the running configuration to work. */
         private void apply() {
             tables.clusters.clear();
-            running.tables.forEach(
-                    (t, lines) -> {
-                        Map<String, Line<InetSocketAddress>> table = new LinkedHashMap<>();
-                        lines.forEach(
-                                (replica, row) ->
+            running.entriesByTable.forEach(
+                    (tableNumber, entries) -> {
+                        Map<String, WeightedEndpoint<InetSocketAddress>> table =
+                                new LinkedHashMap<>();
+                        entries.forEach(
+                                (endpointId, entry) ->
                                         table.put(
-                                                Long.toString(replica),
-                                                new Line<>(
+                                                Long.toString(endpointId),
+                                                new WeightedEndpoint<>(
                                                         "",
                                                         new InetSocketAddress(
-                                                                row.leaves.get("host"),
+                                                                entry.leaves.get("host"),
                                                                 Integer.parseInt(
-                                                                        row.leaves.get("port"))),
+                                                                        entry.leaves.get("port"))),
                                                         Double.parseDouble(
-                                                                row.leaves.get("weight")),
-                                                        !row.leaves
+                                                                entry.leaves.get("weight")),
+                                                        !entry.leaves
                                                                 .get("draining")
                                                                 .equals("true"))));
-                        tables.clusters.put("t" + t, table);
+                        tables.clusters.put("t" + tableNumber, table);
                     });
             Map<String, Route> routes = new LinkedHashMap<>();
-            running.products.forEach(
-                    (product, row) -> {
-                        double letIn = Double.parseDouble(row.leaves.get("let-in"));
+            running.entriesByClass.forEach(
+                    (requestClass, entry) -> {
+                        double letIn = Double.parseDouble(entry.leaves.get("let-in"));
                         routes.put(
-                                product,
+                                requestClass,
                                 new Route(
-                                        "t" + row.leaves.get("table"),
+                                        "t" + entry.leaves.get("table"),
                                         Math.min(1, letIn),
                                         Double.POSITIVE_INFINITY,
-                                        Route.Retry.valueOf(
-                                                row.leaves.get("retry").toUpperCase(Locale.ROOT))));
+                                        Route.RetryMode.valueOf(
+                                                entry.leaves
+                                                        .get("retry")
+                                                        .toUpperCase(Locale.ROOT))));
                     });
             tables.routes = routes;
         }
 
-        private String text() {
+        private String configurationXml() {
             StringBuilder text =
                     new StringBuilder("<routing xmlns=\"urn:sprucelanding:proxy\"><zone>")
                             .append(zone)
                             .append("</zone><txns-per-second>")
-                            .append(usual)
+                            .append(expectedRate)
                             .append("</txns-per-second>");
-            running.tables.forEach(
-                    (t, lines) -> {
-                        text.append("<table><number>").append(t).append("</number>");
-                        lines.forEach(
-                                (replica, row) ->
-                                        leaves(text.append("<line>"), replica, row)
+            running.entriesByTable.forEach(
+                    (tableNumber, entries) -> {
+                        text.append("<table><number>").append(tableNumber).append("</number>");
+                        entries.forEach(
+                                (endpointId, entry) ->
+                                        appendLeaves(text.append("<line>"), endpointId, entry)
                                                 .append("</line>"));
                         text.append("</table>");
                     });
-            running.products.forEach(
-                    (product, row) ->
-                            leaves(text.append("<product>"), 0, row).append("</product>"));
+            running.entriesByClass.forEach(
+                    (requestClass, entry) ->
+                            appendLeaves(text.append("<product>"), 0, entry).append("</product>"));
             return text.append("</routing>").toString();
         }
 
-        private StringBuilder leaves(StringBuilder text, long replica, Row row) {
-            if (replica > 0 && !row.leaves.containsKey("replica")) {
-                text.append("<replica>").append(replica).append("</replica>");
+        private StringBuilder appendLeaves(StringBuilder text, long endpointId, ConfigEntry entry) {
+            if (endpointId > 0 && !entry.leaves.containsKey("replica")) {
+                text.append("<replica>").append(endpointId).append("</replica>");
             }
-            row.leaves.forEach(
+            entry.leaves.forEach(
                     (leaf, value) ->
                             text.append('<')
                                     .append(leaf)
                                     .append('>')
-                                    .append(Elem.escaped(value))
+                                    .append(XmlElement.escape(value))
                                     .append("</")
                                     .append(leaf)
                                     .append('>'));
             return text;
         }
 
-        private void notifies() {
-            loop.in(
-                    NOTIFIES,
+        private void sendNotification() {
+            loop.schedule(
+                    NOTIFICATION_MILLIS,
                     () -> {
                         if (!closed && subscribed) {
-                            Map<InetSocketAddress, Long> ids = new HashMap<>();
-                            running.tables
+                            Map<InetSocketAddress, Long> endpointIds = new HashMap<>();
+                            running.entriesByTable
                                     .values()
                                     .forEach(
-                                            lines ->
-                                                    lines.forEach(
-                                                            (replica, row) ->
-                                                                    ids.put(
+                                            entries ->
+                                                    entries.forEach(
+                                                            (endpointId, entry) ->
+                                                                    endpointIds.put(
                                                                             new InetSocketAddress(
-                                                                                    row.leaves.get(
-                                                                                            "host"),
+                                                                                    entry.leaves
+                                                                                            .get(
+                                                                                                    "host"),
                                                                                     Integer
                                                                                             .parseInt(
-                                                                                                    row
+                                                                                                    entry
                                                                                                             .leaves
                                                                                                             .get(
                                                                                                                     "port"))),
-                                                                            replica)));
-                            notifies(loads.notified(ids));
-                            notifies();
+                                                                            endpointId)));
+                            sendNotification(loadReports.notificationXml(endpointIds));
+                            sendNotification();
                         }
                     });
         }
 
-        private void notifies(String content) {
+        private void sendNotification(String content) {
             if (!closed && subscribed) {
                 write(
                         "<notification xmlns=\"urn:ietf:params:xml:ns:netconf:notification:1.0\"><eventTime>"
--- a/src/main/java/sprucelanding/standin/package-info.java
+++ b/src/main/java/sprucelanding/simulation/loopback/package-info.java
@@ -4,4 +4,4 @@
  * specifications (HTTP/1.1, ORCA load reports, xDS, server-sent events), on loopback addresses
  * only. All figures taken from them are of a simulated fleet.
  */
-package sprucelanding.standin;
+package sprucelanding.simulation.loopback;
--- a/src/main/java/sprucelanding/rules/Limits.java
+++ b/src/main/java/sprucelanding/simulation/rules/RuleLimits.java
@@ -1,4 +1,4 @@
-package sprucelanding.rules;
+package sprucelanding.simulation.rules;
 
 import java.util.List;
 
@@ -17,17 +17,17 @@
  * @param onceOnly by product, whether an effect must not happen twice
  * @param softRemoval a replica that left the list without draining may still be sent to
  */
-public record Limits(
-        double grace,
-        double bare,
-        double coldFrom,
-        double warmAfter,
-        double tip,
-        double fall,
-        int lines,
-        double pace,
-        double head,
-        int messages,
-        double span,
-        List<Boolean> onceOnly,
+public record RuleLimits(
+        double graceMillis,
+        double withoutEntriesMillis,
+        double coldCapacityShare,
+        double warmupMillis,
+        double overloadFactor,
+        double overloadWindowMillis,
+        int maxQueuedEntries,
+        double entriesPerMilli,
+        double messageOverhead,
+        int maxMessagesPerSpan,
+        double messageSpanMillis,
+        List<Boolean> nonRetryable,
         boolean softRemoval) {}
--- a/src/main/java/sprucelanding/rules/Verdict.java
+++ b/src/main/java/sprucelanding/simulation/rules/Verdict.java
@@ -1,4 +1,4 @@
-package sprucelanding.rules;
+package sprucelanding.simulation.rules;
 
 /**
  * One rule's verdict: how often it was broken, and the first case, or what came nearest to a break.
--- a/src/main/java/sprucelanding/day/GovernorProcess.java
+++ b/src/main/java/sprucelanding/simulation/scenario/GovernorProcess.java
@@ -1,4 +1,4 @@
-package sprucelanding.day;
+package sprucelanding.simulation.scenario;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.File;
@@ -23,18 +23,19 @@
     final int port;
     private final Path config;
     private final Path log;
-    private final Path with;
+    private final Path overlay;
     private Process process;
 
-    GovernorProcess(int number, int zone, int port, Path folder, String station, Path with)
+    GovernorProcess(
+            int number, int zone, int port, Path folder, String governorConfig, Path overlay)
             throws IOException {
-        this.with = with;
+        this.overlay = overlay;
         this.number = number;
         this.zone = zone;
         this.port = port;
         this.config = folder.resolve("governor-" + number + ".cue");
         this.log = folder.resolve("governor-" + number + ".log");
-        Files.writeString(config, station);
+        Files.writeString(config, governorConfig);
     }
 
     void start() {
@@ -49,12 +50,12 @@
                                     "-XX:TieredStopAtLevel=4",
                                     "-cp",
                                     System.getProperty("java.class.path"),
-                                    "sprucelanding.program.Main",
+                                    "sprucelanding.cli.Main",
                                     "govern",
                                     "--config",
                                     config.toString()));
-            if (with != null) {
-                command.addAll(List.of("--with", with.toString()));
+            if (overlay != null) {
+                command.addAll(List.of("--with", overlay.toString()));
             }
             process =
                     new ProcessBuilder(command)
@@ -67,25 +68,25 @@
     }
 
     /** Waits until it listens; throws IOException with its log's end if it does not. */
-    void ready() throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (System.nanoTime() < end && process.isAlive()) {
-            try (Socket s = new Socket()) {
-                s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
+    void awaitReady() throws IOException, InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (System.nanoTime() < deadline && process.isAlive()) {
+            try (Socket socket = new Socket()) {
+                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
                 return;
             } catch (IOException e) {
                 Thread.sleep(20);
             }
         }
-        String said = Files.readString(log);
+        String logged = Files.readString(log);
         throw new IOException(
                 "governor "
                         + number
                         + " does not listen: "
-                        + said.substring(Math.max(0, said.length() - 2000)));
+                        + logged.substring(Math.max(0, logged.length() - 2000)));
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process != null && process.isAlive();
     }
 
@@ -115,18 +116,21 @@
     }
 
     /** ms of CPU so far; 0 if it is not known. */
-    double cpu() {
+    double cpuMillis() {
         return process == null
                 ? 0
-                : process.info().totalCpuDuration().map(d -> d.toNanos() / 1e6).orElse(0.0);
+                : process.info()
+                        .totalCpuDuration()
+                        .map(duration -> duration.toNanos() / 1e6)
+                        .orElse(0.0);
     }
 
     /** MiB that it held at the most; 0 if it is not known. */
-    double memory() {
+    double memoryMiB() {
         try (var lines = Files.lines(Path.of("/proc/" + process.pid() + "/status"))) {
-            return lines.filter(l -> l.startsWith("VmHWM"))
+            return lines.filter(line -> line.startsWith("VmHWM"))
                     .findFirst()
-                    .map(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / 1024)
+                    .map(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1024)
                     .orElse(0.0);
         } catch (IOException | RuntimeException e) {
             return 0;
@@ -135,15 +139,15 @@
 
     /** The lines of figures that it logged, oldest first. */
     List<Map<String, String>> figures(ObjectMapper json) {
-        List<Map<String, String>> all = new ArrayList<>();
+        List<Map<String, String>> figures = new ArrayList<>();
         try (var lines = Files.lines(log)) {
             for (String line :
                     lines.filter(
-                                    l ->
-                                            l.contains("\"message\":\"figures\"")
-                                                    || l.contains("\"message\":\"front\""))
+                                    logLine ->
+                                            logLine.contains("\"message\":\"figures\"")
+                                                    || logLine.contains("\"message\":\"front\""))
                             .toList()) {
-                Map<String, String> said = new LinkedHashMap<>();
+                Map<String, String> logged = new LinkedHashMap<>();
                 json.readTree(line)
                         .path("kvpList")
                         .forEach(
@@ -151,21 +155,21 @@
                                         pair.fields()
                                                 .forEachRemaining(
                                                         e ->
-                                                                said.put(
+                                                                logged.put(
                                                                         e.getKey(),
                                                                         e.getValue().asText())));
-                all.add(said);
+                figures.add(logged);
             }
         } catch (IOException e) {
-            all.add(Map.of("unreadable", String.valueOf(e.getMessage())));
+            figures.add(Map.of("unreadable", String.valueOf(e.getMessage())));
         }
-        return all;
+        return figures;
     }
 
     /** Lines of its log that hold a text. */
-    long logged(String text) {
+    long countLogged(String text) {
         try (var lines = Files.lines(log)) {
-            return lines.filter(l -> l.contains(text)).count();
+            return lines.filter(line -> line.contains(text)).count();
         } catch (IOException e) {
             return 0;
         }
--- a/src/main/java/sprucelanding/day/Script.java
+++ b/src/main/java/sprucelanding/simulation/scenario/Scenario.java
@@ -1,4 +1,4 @@
-package sprucelanding.day;
+package sprucelanding.simulation.scenario;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -9,31 +9,32 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import java.util.function.IntFunction;
-import sprucelanding.model.Repeats;
-import sprucelanding.records.Invalid;
-import sprucelanding.records.Records;
-import sprucelanding.rules.Limits;
+import sprucelanding.config.records.InvalidRecordsException;
+import sprucelanding.config.records.Records;
+import sprucelanding.simulation.model.ClientRetryPolicy;
+import sprucelanding.simulation.rules.RuleLimits;
 
 /** A day as it is scripted; day.cue says what each is, with its bounds. Times in ms. */
-public record Script(
+public record Scenario(
         String name,
         long seed,
         double lasts,
         List<String> zones,
-        List<Kind> kinds,
-        List<Ware> products,
-        Replicas replicas,
-        Proxies proxies,
-        Governors governors,
-        Drawn random,
+        List<EndpointKind> kinds,
+        List<RequestClassSettings> products,
+        EndpointSettings replicas,
+        ProxySettings proxies,
+        GovernorSettings governors,
+        RandomFaults random,
         double txns,
-        Clients clients,
-        Roster roster,
-        Rules rules,
-        List<Trouble> troubles) {
-    public record Kind(String name, int cores, double speed, int slots, int room, double part) {}
+        ClientSettings clients,
+        DiscoverySettings roster,
+        RuleSettings rules,
+        List<Fault> troubles) {
+    public record EndpointKind(
+            String name, int cores, double speed, int slots, int room, double part) {}
 
-    public record Ware(
+    public record RequestClassSettings(
             String name,
             double part,
             double work,
@@ -43,9 +44,9 @@
             String retry,
             List<String> kinds) {}
 
-    public record Replicas(int count, double coldFrom, double warmAfter, int connections) {}
+    public record EndpointSettings(int count, double coldFrom, double warmAfter, int connections) {}
 
-    public record Proxies(
+    public record ProxySettings(
             int count,
             int standing,
             double devices,
@@ -54,7 +55,7 @@
             int ejectsAfter,
             double ejectsFor) {}
 
-    public record Governors(
+    public record GovernorSettings(
             int count,
             double lines,
             double head,
@@ -67,21 +68,22 @@
             boolean hints) {}
 
     /** Troubles of a governor each, drawn by the day's seed. */
-    public record Drawn(double every, double from, double until, double lasts, List<String> what) {}
+    public record RandomFaults(
+            double every, double from, double until, double lasts, List<String> what) {}
 
-    public record Clients(int retries, double pause, double tryShare) {
-        public Repeats repeats() {
-            return new Repeats(retries, pause);
+    public record ClientSettings(int retries, double pause, double tryShare) {
+        public ClientRetryPolicy retryPolicy() {
+            return new ClientRetryPolicy(retries, pause);
         }
     }
 
-    public record Roster(double notices, double adds) {}
+    public record DiscoverySettings(double notices, double adds) {}
 
-    public record Rules(double grace, double bare, double tip, double fall) {}
+    public record RuleSettings(double grace, double bare, double tip, double fall) {}
 
-    public record Trouble(
+    public record Fault(
             double at, double lasts, String what, double part, double size, String zone) {
-        String line() {
+        String toRecord() {
             return String.format(
                     Locale.ROOT,
                     "%s%s, part %.2f, size %.2f, for %.1f s",
@@ -97,8 +99,8 @@
     public static final String DEFINITION = "#Day";
 
     /** Reads a script; throws Invalid with all its faults, or IOException. */
-    public static Script read(Path file) throws Invalid, IOException {
-        return Records.read(file, SCHEMA, DEFINITION, Script.class);
+    public static Scenario read(Path file) throws InvalidRecordsException, IOException {
+        return Records.read(file, SCHEMA, DEFINITION, Scenario.class);
     }
 
     /** What types alone cannot say; throws IllegalArgumentException with the field. */
@@ -110,7 +112,7 @@
                         "troubles[" + i + "].zone: \"" + zone + "\" is none of " + zones);
             }
         }
-        double parts = products.stream().mapToDouble(Ware::part).sum();
+        double parts = products.stream().mapToDouble(RequestClassSettings::part).sum();
         if (Math.abs(parts - 1) > 0.01) {
             throw new IllegalArgumentException(
                     "products: their parts sum up to " + parts + ", not 100%");
@@ -118,15 +120,15 @@
     }
 
     /** The same day with other chances. */
-    public Script seeded(long other) {
-        return new Script(
-                name, other, lasts, zones, kinds, products, replicas, proxies, governors, random,
+    public Scenario withSeed(long seed) {
+        return new Scenario(
+                name, seed, lasts, zones, kinds, products, replicas, proxies, governors, random,
                 txns, clients, roster, rules, troubles);
     }
 
     /** The same day with other troubles. */
-    public Script struck(List<Trouble> others) {
-        return new Script(
+    public Scenario withFaults(List<Fault> faults) {
+        return new Scenario(
                 name,
                 seed,
                 lasts,
@@ -141,31 +143,31 @@
                 clients,
                 roster,
                 rules,
-                List.copyOf(others));
+                List.copyOf(faults));
     }
 
     /** Its troubles, and those that its seed draws. */
-    public List<Trouble> allTroubles() {
+    public List<Fault> allFaults() {
         if (random == null) {
             return troubles;
         }
-        List<Trouble> all = new ArrayList<>(troubles);
-        SplittableRandom chance = new SplittableRandom(seed * 7919 + 17);
+        List<Fault> faults = new ArrayList<>(troubles);
+        SplittableRandom generator = new SplittableRandom(seed * 7919 + 17);
         for (double at = random.from;
                 at < random.until;
-                at += random.every * (0.5 + chance.nextDouble())) {
-            String what = random.what.get(chance.nextInt(random.what.size()));
-            all.add(
-                    new Trouble(
+                at += random.every * (0.5 + generator.nextDouble())) {
+            String fault = random.what.get(generator.nextInt(random.what.size()));
+            faults.add(
+                    new Fault(
                             at,
-                            random.lasts * (0.5 + chance.nextDouble()),
-                            what,
+                            random.lasts * (0.5 + generator.nextDouble()),
+                            fault,
                             1.0 / Math.max(1, governors.count),
                             1,
                             null));
         }
-        all.sort(Comparator.comparingDouble(Trouble::at));
-        return all;
+        faults.sort(Comparator.comparingDouble(Fault::at));
+        return faults;
     }
 
     /**
@@ -174,10 +176,13 @@
      * @param at where each hears the others, by its number
      * @param more fields beside
      */
-    public String peers(int governor, IntFunction<String> at, String more) {
+    public String peerConfig(int governor, IntFunction<String> addressOf, String extraFields) {
         StringBuilder text = new StringBuilder("peers: {others: [");
-        for (int g = 0; governors.shared && g < governors.count; g++) {
-            text.append(g == governor ? "" : "{number: " + g + ", at: \"" + at.apply(g) + "\"}, ");
+        for (int other = 0; governors.shared && other < governors.count; other++) {
+            text.append(
+                    other == governor
+                            ? ""
+                            : "{number: " + other + ", at: \"" + addressOf.apply(other) + "\"}, ");
         }
         return text.append(
                         String.format(
@@ -188,36 +193,36 @@
                                 governors.lease,
                                 governors.room,
                                 governors.hints,
-                                more))
+                                extraFields))
                 .toString();
     }
 
     /** The kind of a replica, by its position. */
-    public int kindOf(int replica) {
-        double x = (replica * 0.6180339887 + 0.5) % 1;
+    public int endpointKind(int endpoint) {
+        double position = (endpoint * 0.6180339887 + 0.5) % 1;
         int kind = 0;
-        while (kind < kinds.size() - 1 && x >= kinds.get(kind).part()) {
-            x -= kinds.get(kind++).part();
+        while (kind < kinds.size() - 1 && position >= kinds.get(kind).part()) {
+            position -= kinds.get(kind++).part();
         }
         return kind;
     }
 
     /** Txns a second of each proxy: most carry little, some far more. */
-    public double[] usuals() {
-        double[] usuals = new double[proxies.count()];
+    public double[] expectedLoads() {
+        double[] expectedLoads = new double[proxies.count()];
         double sum = 0;
-        for (int i = 0; i < usuals.length; i++) {
-            usuals[i] = Math.exp(0.8 * new Random(seed * 31 + i).nextGaussian());
-            sum += usuals[i];
+        for (int i = 0; i < expectedLoads.length; i++) {
+            expectedLoads[i] = Math.exp(0.8 * new Random(seed * 31 + i).nextGaussian());
+            sum += expectedLoads[i];
         }
-        for (int i = 0; i < usuals.length; i++) {
-            usuals[i] *= txns / sum;
+        for (int i = 0; i < expectedLoads.length; i++) {
+            expectedLoads[i] *= txns / sum;
         }
-        return usuals;
+        return expectedLoads;
     }
 
-    public Limits limits() {
-        return new Limits(
+    public RuleLimits ruleLimits() {
+        return new RuleLimits(
                 rules.grace(),
                 rules.bare(),
                 replicas.coldFrom(),
@@ -229,7 +234,7 @@
                 governors.head(),
                 governors.messages(),
                 governors.span(),
-                products.stream().map(w -> w.retry().equals("once")).toList(),
+                products.stream().map(requestClass -> requestClass.retry().equals("once")).toList(),
                 false);
     }
 
@@ -239,7 +244,8 @@
      * @param roster fields of its roster beside those that the script says
      * @param more whole fields
      */
-    public String station(int governor, String xdsAt, String roster, String more) {
+    public String governorConfig(
+            int governor, String xdsAddress, String discovery, String extraFields) {
         StringBuilder text = new StringBuilder();
         text.append("// station: governor ")
                 .append(governor)
@@ -251,27 +257,30 @@
                 .append("\"\nseed: ")
                 .append(seed * 100 + governor);
         text.append("\nzones: ")
-                .append(strings(zones))
+                .append(quotedList(zones))
                 .append("\nkinds: ")
-                .append(strings(kinds.stream().map(Kind::name).toList()));
+                .append(quotedList(kinds.stream().map(EndpointKind::name).toList()));
         text.append("\nproducts: [\n");
-        for (Ware w : products) {
+        for (RequestClassSettings requestClass : products) {
             text.append(
                     String.format(
                             Locale.ROOT,
                             "\t{name: \"%s\", retry: \"%s\", sla: %.0fms, revenue: %.3f",
-                            w.name(),
-                            w.retry(),
-                            w.sla(),
-                            w.revenue()));
-            text.append(w.kinds().isEmpty() ? "},\n" : ", kinds: " + strings(w.kinds()) + "},\n");
+                            requestClass.name(),
+                            requestClass.retry(),
+                            requestClass.sla(),
+                            requestClass.revenue()));
+            text.append(
+                    requestClass.kinds().isEmpty()
+                            ? "},\n"
+                            : ", kinds: " + quotedList(requestClass.kinds()) + "},\n");
         }
-        text.append("]\nxds: at: \"").append(xdsAt).append("\"\n");
+        text.append("]\nxds: at: \"").append(xdsAddress).append("\"\n");
         text.append(
                 String.format(
                         Locale.ROOT,
                         "roster: {%s, coldFrom: %.4f, warmAfter: %.0fms}%n",
-                        roster,
+                        discovery,
                         replicas.coldFrom(),
                         replicas.warmAfter()));
         text.append(
@@ -284,10 +293,12 @@
                         governors.messages(),
                         governors.span(),
                         rules.grace()));
-        return text.append(more).toString();
+        return text.append(extraFields).toString();
     }
 
-    private static String strings(List<String> all) {
-        return "[" + String.join(", ", all.stream().map(s -> "\"" + s + "\"").toList()) + "]";
+    private static String quotedList(List<String> values) {
+        return "["
+                + String.join(", ", values.stream().map(value -> "\"" + value + "\"").toList())
+                + "]";
     }
 }
--- a/src/main/java/sprucelanding/day/package-info.java
+++ b/src/main/java/sprucelanding/simulation/scenario/package-info.java
@@ -3,4 +3,4 @@
  * loopback sockets, judged from what crossed them; and the measurements that need such a fleet. All
  * figures are of a simulated fleet.
  */
-package sprucelanding.day;
+package sprucelanding.simulation.scenario;
--- a/src/main/java/sprucelanding/soak/DiscoveryServer.java
+++ b/src/main/java/sprucelanding/simulation/soak/DiscoveryServer.java
@@ -1,53 +1,53 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sprucelanding.loop.Conn;
-import sprucelanding.loop.Loop;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
  * Discovery as one governor reaches it: a watch with chunked lines, which can fall silent or be
  * reset.
  */
 final class DiscoveryServer {
-    private static final int UNREAD = 1 << 20;
+    private static final int MAX_UNREAD_BYTES = 1 << 20;
     private static final double KEEP_ALIVE = 2000; // ms between empty lines
-    private static final double DEEMED_TOLD =
+    private static final double REPORT_DELAY_LIMIT =
             6000; // ms after which a change counts as told, whether it arrived or not
 
-    private final Loop loop;
-    private final EndpointList list;
+    private final EventLoop loop;
+    private final SoakEndpoints list;
     private Watch watch;
     private boolean silent;
     private double processStartedAt;
 
     /** When the present governor process was told of each removal. */
-    private final Map<String, Double> toldAt = new HashMap<>();
+    private final Map<String, Double> reportedAtById = new HashMap<>();
 
-    DiscoveryServer(Loop loop, EndpointList list) {
+    DiscoveryServer(EventLoop loop, SoakEndpoints list) {
         this.loop = loop;
         this.list = list;
-        loop.every(KEEP_ALIVE, () -> say("\n"));
+        loop.scheduleWithFixedDelay(KEEP_ALIVE, () -> send("\n"));
     }
 
     /** Each connection is a watch; the newest one counts. */
-    Conn.Listener accepted() {
+    TcpConnection.Listener accepted() {
         return new Watch();
     }
 
     /** A new governor process knows only what its configuration holds. */
     void processStarted(double now) {
-        toldAt.clear();
+        reportedAtById.clear();
         processStartedAt = now;
     }
 
     /** Tells the watch what has changed since it was last told. */
     void publish() {
         if (watch != null && !silent) {
-            watch.tell();
+            watch.sendEntries();
         }
     }
 
@@ -61,8 +61,8 @@
         if (watch != null) {
             Watch broken = watch;
             watch = null;
-            broken.conn.write("30\r\n{\"rev\":".getBytes(StandardCharsets.US_ASCII));
-            broken.conn.reset();
+            broken.currentConnection.write("30\r\n{\"rev\":".getBytes(StandardCharsets.US_ASCII));
+            broken.currentConnection.reset();
         }
     }
 
@@ -70,30 +70,30 @@
      * When its governor counts as told that the endpoint is removed; infinite if it is not, or not
      * yet.
      */
-    double removalToldAt(EndpointList.Change endpoint) {
-        if (endpoint.state() == EndpointList.State.READY) {
+    double removalReportedAt(SoakEndpoints.Change endpoint) {
+        if (endpoint.state() == SoakEndpoints.State.READY) {
             return Double.POSITIVE_INFINITY;
         }
-        double deemed = Math.max(processStartedAt, endpoint.changedAt()) + DEEMED_TOLD;
-        return Math.min(toldAt.getOrDefault(endpoint.uid(), deemed), deemed);
+        double deemed = Math.max(processStartedAt, endpoint.changedAt()) + REPORT_DELAY_LIMIT;
+        return Math.min(reportedAtById.getOrDefault(endpoint.uid(), deemed), deemed);
     }
 
-    private void say(String text) {
+    private void send(String text) {
         if (watch != null && !silent) {
             watch.chunk(text);
         }
     }
 
-    private final class Watch implements Conn.Listener {
+    private final class Watch implements TcpConnection.Listener {
         private final StringBuilder request = new StringBuilder();
-        private Conn conn;
+        private TcpConnection currentConnection;
         private long revision = -1;
         private boolean answered;
 
         @Override
-        public void received(Conn c, ByteBuffer in) {
-            conn = c;
-            request.append(StandardCharsets.US_ASCII.decode(in));
+        public void onReceived(TcpConnection connection, ByteBuffer input) {
+            currentConnection = connection;
+            request.append(StandardCharsets.US_ASCII.decode(input));
             if (!answered && request.indexOf("\r\n\r\n") >= 0) {
                 answered = true;
                 watch = this;
@@ -102,7 +102,7 @@
                     String rest = request.substring(index + "index=".length());
                     revision = Long.parseLong(rest.substring(0, rest.indexOf(' ')));
                 }
-                c.write(
+                connection.write(
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                 .getBytes(StandardCharsets.US_ASCII));
                 chunk("\n");
@@ -110,9 +110,9 @@
             }
         }
 
-        void tell() {
+        void sendEntries() {
             boolean whole = revision < 0;
-            List<EndpointList.Change> entries = list.answer(revision);
+            List<SoakEndpoints.Change> entries = list.responseSince(revision);
             if (!whole && entries.isEmpty()) {
                 return;
             }
@@ -121,23 +121,26 @@
             // what a whole list does not name is gone
             (whole ? list.removed() : entries)
                     .stream()
-                            .filter(e -> e.state() != EndpointList.State.READY)
-                            .forEach(e -> toldAt.putIfAbsent(e.uid(), Loop.now()));
+                            .filter(change -> change.state() != SoakEndpoints.State.READY)
+                            .forEach(
+                                    change ->
+                                            reportedAtById.putIfAbsent(
+                                                    change.uid(), EventLoop.nowMillis()));
         }
 
         private void chunk(String text) {
-            conn.write(
+            currentConnection.write(
                     (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
         }
 
         @Override
-        public void closed(Conn c, String why) {
+        public void onClosed(TcpConnection connection, String reason) {
             watch = watch == this ? null : watch;
         }
     }
 
     static int unread() {
-        return UNREAD;
+        return MAX_UNREAD_BYTES;
     }
 }
--- a/src/main/java/sprucelanding/soak/FleetProxy.java
+++ b/src/main/java/sprucelanding/simulation/soak/FleetProxy.java
@@ -1,4 +1,4 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sprucelanding.loop.Conn;
-import sprucelanding.loop.Loop;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
  * A proxy of the fleet: it keeps the tables that it is sent, and dials another governor when its
@@ -26,12 +26,12 @@
         /** A governor to dial, or -1 if none is up. */
         int governorFor(FleetProxy proxy);
 
-        Conn dial(int governor, Conn.Listener listener);
+        TcpConnection dial(int governor, TcpConnection.Listener listener);
 
         Channel channel(int governor);
 
         /** Whether the next acknowledgement is lost. */
-        boolean losesAcknowledgement();
+        boolean dropsAcknowledgement();
 
         /** A message of that many lines, its head included, has come whole. */
         void messageSent(FleetProxy proxy, int governor, int lines);
@@ -40,30 +40,30 @@
         double redialDelay();
     }
 
-    private static final double NO_GOVERNOR_UP = 100; // ms until it looks again
+    private static final double NO_GOVERNOR_RETRY_DELAY = 100; // ms until it looks again
 
     final int number;
     final String zone;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Host host;
-    private final String[] classes;
+    private final String[] requestClasses;
 
     /** By class, the weights of the endpoints in its table. */
     private final Map<String, Map<String, Double>> tables = new HashMap<>();
 
-    private final Set<String> shutOut = new HashSet<>();
+    private final Set<String> ejectedEverywhere = new HashSet<>();
     private boolean standing = true;
     private Stream stream;
     private int governor = -1;
     private double joinedAt;
 
     /** When messages were written to it on its present stream. */
-    private final ArrayDeque<Double> messages = new ArrayDeque<>();
+    private final ArrayDeque<Double> messageTimes = new ArrayDeque<>();
 
     FleetProxy(
             int number,
             String zone,
-            Loop loop,
+            EventLoop loop,
             Host host,
             String[] classes,
             List<String> endpoints) {
@@ -71,11 +71,11 @@
         this.zone = zone;
         this.loop = loop;
         this.host = host;
-        this.classes = classes;
-        for (String each : classes) {
+        this.requestClasses = classes;
+        for (String name : classes) {
             Map<String, Double> table = new HashMap<>();
             endpoints.forEach(uid -> table.put(uid, 1.0));
-            tables.put(each, table);
+            tables.put(name, table);
         }
     }
 
@@ -89,7 +89,7 @@
     }
 
     boolean mayPick(String uid) {
-        if (shutOut.contains(uid)) {
+        if (ejectedEverywhere.contains(uid)) {
             return false;
         }
         for (Map<String, Double> table : tables.values()) {
@@ -103,27 +103,30 @@
     /** Whether each class has an endpoint to pick. */
     boolean hasLines() {
         return tables.values().stream()
-                .allMatch(table -> table.keySet().stream().anyMatch(uid -> !shutOut.contains(uid)));
+                .allMatch(
+                        table ->
+                                table.keySet().stream()
+                                        .anyMatch(uid -> !ejectedEverywhere.contains(uid)));
     }
 
-    ArrayDeque<Double> messages() {
-        return messages;
+    ArrayDeque<Double> messageTimes() {
+        return messageTimes;
     }
 
     void connect() {
-        int to = host.governorFor(this);
-        if (to < 0) {
-            loop.in(NO_GOVERNOR_UP, this::connect);
+        int governorNumber = host.governorFor(this);
+        if (governorNumber < 0) {
+            loop.schedule(NO_GOVERNOR_RETRY_DELAY, this::connect);
         } else {
-            stream = new Stream(to);
-            stream.conn = host.dial(to, stream);
+            stream = new Stream(governorNumber);
+            stream.currentConnection = host.dial(governorNumber, stream);
         }
     }
 
     /** Its stream is reset by the network, perhaps in the middle of a message. */
     void reset() {
-        if (stream != null && stream.conn != null) {
-            stream.conn.reset();
+        if (stream != null && stream.currentConnection != null) {
+            stream.currentConnection.reset();
         }
     }
 
@@ -133,44 +136,44 @@
      */
     void silence() {
         if (stream != null && governor >= 0) {
-            Stream before = stream;
-            before.conn.paused(true);
-            loop.in(6000, before.conn::reset);
-            lost();
+            Stream previous = stream;
+            previous.currentConnection.setReadPaused(true);
+            loop.schedule(6000, previous.currentConnection::reset);
+            onStreamLost();
         }
     }
 
     /** It leaves for another governor of its own accord. */
-    void moves() {
+    void handOver() {
         if (stream != null && governor >= 0) {
-            Conn before = stream.conn;
-            lost();
-            before.close();
+            TcpConnection previous = stream.currentConnection;
+            onStreamLost();
+            previous.close();
         }
     }
 
-    private void lost() {
+    private void onStreamLost() {
         stream = null;
         governor = -1;
-        messages.clear();
-        loop.in(host.redialDelay(), this::connect);
+        messageTimes.clear();
+        loop.schedule(host.redialDelay(), this::connect);
     }
 
-    private final class Stream implements Conn.Listener {
-        private final int to;
-        private Conn conn;
+    private final class Stream implements TcpConnection.Listener {
+        private final int governorNumber;
+        private TcpConnection currentConnection;
         private final StringBuilder line = new StringBuilder();
         private List<JsonObject> parts = new ArrayList<>();
 
-        Stream(int to) {
-            this.to = to;
+        Stream(int governorNumber) {
+            this.governorNumber = governorNumber;
         }
 
         @Override
-        public void connected(Conn c) {
-            conn = c;
+        public void onConnected(TcpConnection connection) {
+            currentConnection = connection;
             if (stream == this) {
-                c.write(
+                connection.write(
                         ("{\"msg\":\"joined\",\"sidecar\":"
                                         + number
                                         + ",\"az\":\""
@@ -179,17 +182,17 @@
                                         + standing
                                         + "}\n")
                                 .getBytes(StandardCharsets.US_ASCII));
-                governor = to;
-                joinedAt = Loop.now();
+                governor = governorNumber;
+                joinedAt = EventLoop.nowMillis();
             }
         }
 
         @Override
-        public void received(Conn c, ByteBuffer in) {
-            while (in.hasRemaining() && stream == this) {
-                char next = (char) in.get();
+        public void onReceived(TcpConnection connection, ByteBuffer input) {
+            while (input.hasRemaining() && stream == this) {
+                char next = (char) input.get();
                 if (next == '\n') {
-                    part(Json.parse(line.toString()).asObject());
+                    bufferPart(Json.parse(line.toString()).asObject());
                     line.setLength(0);
                 } else {
                     line.append(next);
@@ -197,7 +200,7 @@
             }
         }
 
-        private void part(JsonObject part) {
+        private void bufferPart(JsonObject part) {
             if (!part.getString("msg", "").equals("update")) {
                 return;
             }
@@ -205,19 +208,21 @@
             if (!part.getBoolean("continued", false)) {
                 List<JsonObject> message = parts;
                 parts = new ArrayList<>();
-                int lines = SoakPlan.HEAD + message.stream().mapToInt(FleetProxy::lines).sum();
-                messages.addLast(Loop.now());
-                host.messageSent(FleetProxy.this, to, lines);
-                host.channel(to).send(lines, () -> arrives(message));
+                int lines =
+                        SoakPlan.MESSAGE_OVERHEAD_LINES
+                                + message.stream().mapToInt(FleetProxy::lines).sum();
+                messageTimes.addLast(EventLoop.nowMillis());
+                host.messageSent(FleetProxy.this, governorNumber, lines);
+                host.channel(governorNumber).send(lines, () -> applyMessage(message));
             }
         }
 
-        private void arrives(List<JsonObject> message) {
-            if (stream == this && conn.open()) {
+        private void applyMessage(List<JsonObject> message) {
+            if (stream == this && currentConnection.isOpen()) {
                 message.forEach(FleetProxy.this::apply);
                 JsonValue mark = message.get(message.size() - 1).get("nonce_out");
-                if (mark != null && !host.losesAcknowledgement()) {
-                    conn.write(
+                if (mark != null && !host.dropsAcknowledgement()) {
+                    currentConnection.write(
                             ("{\"msg\":\"applied\",\"sidecar\":"
                                             + number
                                             + ",\"version\":"
@@ -229,9 +234,9 @@
         }
 
         @Override
-        public void closed(Conn c, String why) {
+        public void onClosed(TcpConnection connection, String reason) {
             if (stream == this) {
-                lost();
+                onStreamLost();
             }
         }
     }
@@ -252,15 +257,15 @@
         JsonValue routes = part.get("routes");
         if (part.get("endpoints") != null || part.getBoolean("full", false)) {
             if (routes == null) {
-                for (String each : classes) {
-                    change(tables.get(each), part);
+                for (String name : requestClasses) {
+                    change(tables.get(name), part);
                 }
             } else {
                 routes.asArray().forEach(each -> change(tables.get(each.asString()), part));
             }
         }
-        names(part, "eject").forEach(shutOut::add);
-        names(part, "restore").forEach(shutOut::remove);
+        names(part, "eject").forEach(ejectedEverywhere::add);
+        names(part, "restore").forEach(ejectedEverywhere::remove);
     }
 
     private static void change(Map<String, Double> table, JsonObject part) {
--- a/src/main/java/sprucelanding/soak/InvariantChecker.java
+++ b/src/main/java/sprucelanding/simulation/soak/InvariantChecker.java
@@ -1,4 +1,4 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -35,12 +35,12 @@
         INTERNAL
     }
 
-    private static final double SLACK = 300; // ms that the rules allow beyond their limits
+    private static final double SLACK_MILLIS = 300; // ms that the rules allow beyond their limits
     private static final double NO_ENDPOINT_LIMIT = 7800; // ms
     private static final double MESSAGE_SPAN = 10_000; // ms
     private static final double FIRST_ANSWER =
             1000; // ms after a governor's first answer before its limits begin
-    private static final int EXAMPLES = 5;
+    private static final int MAX_EXAMPLES = 5;
 
     private final SoakPlan plan;
     private final Map<Rule, Integer> violations = new TreeMap<>();
@@ -59,13 +59,16 @@
     void check(
             FleetProxy proxy,
             DiscoveryServer discovery,
-            List<EndpointList.Change> removed,
+            List<SoakEndpoints.Change> removed,
             double upSince,
             double now) {
-        double from = Math.max(proxy.joinedAt(), upSince + FIRST_ANSWER);
-        for (EndpointList.Change endpoint : removed) {
-            double due = Math.max(from, discovery.removalToldAt(endpoint)) + plan.grace() + SLACK;
-            if (now > due && proxy.mayPick(endpoint.uid())) {
+        double countedFrom = Math.max(proxy.joinedAt(), upSince + FIRST_ANSWER);
+        for (SoakEndpoints.Change endpoint : removed) {
+            double dueAt =
+                    Math.max(countedFrom, discovery.removalReportedAt(endpoint))
+                            + plan.grace()
+                            + SLACK_MILLIS;
+            if (now > dueAt && proxy.mayPick(endpoint.uid())) {
                 String id = proxy.number + "/" + endpoint.uid() + "/" + endpoint.revision();
                 violated(
                         Rule.DRAIN,
@@ -77,22 +80,23 @@
                                 + " may pick "
                                 + endpoint.uid()
                                 + " "
-                                + Math.round(now - due + SLACK)
+                                + Math.round(now - dueAt + SLACK_MILLIS)
                                 + " ms after its grace, joined "
                                 + Math.round(now - proxy.joinedAt())
                                 + " ms ago");
             }
         }
-        checkLines(proxy, from, now);
+        checkLines(proxy, countedFrom, now);
     }
 
-    private void checkLines(FleetProxy proxy, double from, double now) {
+    private void checkLines(FleetProxy proxy, double countedFrom, double now) {
         if (proxy.hasLines()) {
             withoutLinesSince.remove(proxy.number);
             return;
         }
-        double since = Math.max(from, withoutLinesSince.computeIfAbsent(proxy.number, x -> now));
-        if (now - since > NO_ENDPOINT_LIMIT + SLACK) {
+        double since =
+                Math.max(countedFrom, withoutLinesSince.computeIfAbsent(proxy.number, key -> now));
+        if (now - since > NO_ENDPOINT_LIMIT + SLACK_MILLIS) {
             violated(
                     Rule.NO_ENDPOINT,
                     proxy.number + "/" + since,
@@ -115,12 +119,12 @@
                     "backlog/" + proxy.governor() + "/" + Math.floor(now / 1000),
                     Math.round(waiting) + " lines wait at governor " + proxy.governor());
         }
-        proxy.messages().removeIf(at -> at < now - MESSAGE_SPAN);
-        if (plan.messageLimit() > 0 && proxy.messages().size() > plan.messageLimit()) {
+        proxy.messageTimes().removeIf(at -> at < now - MESSAGE_SPAN);
+        if (plan.messageLimit() > 0 && proxy.messageTimes().size() > plan.messageLimit()) {
             violated(
                     Rule.MESSAGES,
                     "messages/" + proxy.number + "/" + Math.floor(now / MESSAGE_SPAN),
-                    proxy.messages().size()
+                    proxy.messageTimes().size()
                             + " messages to proxy "
                             + proxy.number
                             + " within ten seconds");
@@ -139,11 +143,11 @@
                 Rule.INTERNAL, "internal/" + governor, "governor " + governor + " logged: " + line);
     }
 
-    private void violated(Rule rule, String id, String what) {
+    private void violated(Rule rule, String id, String evidence) {
         if (reported.add(rule + " " + id)) {
             violations.merge(rule, 1, Integer::sum);
-            if (violations.get(rule) <= EXAMPLES) {
-                examples.add(rule + ": " + what);
+            if (violations.get(rule) <= MAX_EXAMPLES) {
+                examples.add(rule + ": " + evidence);
             }
         }
     }
--- a/src/main/java/sprucelanding/soak/ServeProcess.java
+++ b/src/main/java/sprucelanding/simulation/soak/ServeProcess.java
@@ -1,4 +1,4 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import java.io.File;
 import java.io.IOException;
@@ -59,7 +59,7 @@
                     List.of(
                             "-cp",
                             System.getProperty("java.class.path"),
-                            "sprucelanding.program.Main",
+                            "sprucelanding.cli.Main",
                             "serve"));
             ProcessBuilder builder =
                     new ProcessBuilder(command)
@@ -72,7 +72,7 @@
         }
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process != null && process.isAlive();
     }
 
@@ -111,7 +111,7 @@
     /** The first line of its log that tells of a fault of the program itself, or null. */
     String failureLogged() {
         try (var lines = Files.lines(log, StandardCharsets.UTF_8)) {
-            return lines.filter(l -> FAILURES.stream().anyMatch(l::contains))
+            return lines.filter(line -> FAILURES.stream().anyMatch(line::contains))
                     .findFirst()
                     .orElse(null);
         } catch (IOException e) {
@@ -121,8 +121,8 @@
 
     private long figure(String event, String key) {
         try (var lines = Files.lines(log, StandardCharsets.UTF_8)) {
-            return lines.filter(l -> l.contains(event) && l.contains(key))
-                    .mapToLong(l -> value(l, key))
+            return lines.filter(line -> line.contains(event) && line.contains(key))
+                    .mapToLong(line -> value(line, key))
                     .max()
                     .orElse(0);
         } catch (IOException e) {
--- a/src/main/java/sprucelanding/soak/EndpointList.java
+++ b/src/main/java/sprucelanding/simulation/soak/SoakEndpoints.java
@@ -1,4 +1,4 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** The endpoints as discovery lists them, in numbered revisions; every change is kept. */
-final class EndpointList {
+final class SoakEndpoints {
     /** The state of an endpoint, by its name on the wire. */
     enum State {
         READY,
@@ -30,7 +30,7 @@
     private int created;
 
     /** All endpoints are probed at the same address, HOST:PORT. */
-    EndpointList(int count, String[] zones, String address) {
+    SoakEndpoints(int count, String[] zones, String address) {
         this.address = address;
         this.zones = zones;
         for (int i = 0; i < count; i++) {
@@ -47,12 +47,12 @@
 
     /** Those that are ready, oldest first. */
     List<Change> ready() {
-        return current.values().stream().filter(c -> c.state() == State.READY).toList();
+        return current.values().stream().filter(entry -> entry.state() == State.READY).toList();
     }
 
     /** Those that drain or are gone. */
     List<Change> removed() {
-        return current.values().stream().filter(c -> c.state() != State.READY).toList();
+        return current.values().stream().filter(entry -> entry.state() != State.READY).toList();
     }
 
     Change get(String uid) {
@@ -61,32 +61,32 @@
 
     /** Enters one change as a revision of its own. */
     void change(String uid, State state, double now) {
-        Change before = current.get(uid);
-        enter(new Change(++revision, uid, before.zone(), state, before.bootMillis(), now));
+        Change previous = current.get(uid);
+        record(new Change(++revision, uid, previous.zone(), state, previous.bootMillis(), now));
     }
 
     /** A new endpoint in that zone that has just started. */
     void add(int zone, long bootMillis, double now) {
-        enter(new Change(++revision, "s-" + created++, zone, State.READY, bootMillis, now));
+        record(new Change(++revision, "s-" + created++, zone, State.READY, bootMillis, now));
     }
 
-    private void enter(Change change) {
+    private void record(Change change) {
         current.put(change.uid(), change);
         changes.add(change);
     }
 
-    List<Change> since(long after) {
-        return changes.stream().filter(c -> c.revision() > after).toList();
+    List<Change> changesSince(long after) {
+        return changes.stream().filter(entry -> entry.revision() > after).toList();
     }
 
     /**
      * What a watch that had that revision is to be told: the changes since, or the whole list if it
      * had none.
      */
-    List<Change> answer(long after) {
+    List<Change> responseSince(long after) {
         return after >= 0
-                ? since(after)
-                : current.values().stream().filter(c -> c.state() != State.GONE).toList();
+                ? changesSince(after)
+                : current.values().stream().filter(entry -> entry.state() != State.GONE).toList();
     }
 
     /** The answer as discovery writes it, on one line. */
@@ -97,18 +97,18 @@
                         .append(",\"all\":")
                         .append(whole)
                         .append(",\"targets\":[");
-        for (Change c : entries) {
+        for (Change entry : entries) {
             text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
                     .append("{\"uid\":\"")
-                    .append(c.uid())
+                    .append(entry.uid())
                     .append("\",\"endpoint\":\"")
                     .append(address)
                     .append("\",\"az\":\"")
-                    .append(zones[c.zone()])
+                    .append(zones[entry.zone()])
                     .append("\",\"model\":\"m1\",\"pod_group\":0,\"state\":\"")
-                    .append(c.state().wireName())
+                    .append(entry.state().wireName())
                     .append("\",\"capacity_hint\":1.0,\"boot_ms\":")
-                    .append(c.bootMillis())
+                    .append(entry.bootMillis())
                     .append('}');
         }
         return text.append("]}").toString();
--- a/src/main/java/sprucelanding/soak/SoakPlan.java
+++ b/src/main/java/sprucelanding/simulation/soak/SoakPlan.java
@@ -1,4 +1,4 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -30,9 +30,9 @@
         double linesPerSecond,
         int queueLimit,
         int messageLimit,
-        List<Fault> faults) {
+        List<SoakFault> faults) {
     /** Lines that a message costs beyond its own. */
-    public static final int HEAD = 6;
+    public static final int MESSAGE_OVERHEAD_LINES = 6;
 
     private static final double FIRST_FAULT = 1500;
     private static final double RECOVERY = 6000; // ms at the end without a new fault
@@ -44,13 +44,13 @@
     public static SoakPlan failover(long seed, int governors, int proxies) {
         int endpoints = 120;
         int step = endpoints / 5;
-        List<Fault> faults =
+        List<SoakFault> faults =
                 List.of(
-                        new Fault.Replace(1000, step),
-                        new Fault.Replace(3000, step),
-                        new Fault.Kill(3400, allBut(0, governors), 5000),
-                        new Fault.Replace(4800, step),
-                        new Fault.Replace(6500, step / 3));
+                        new SoakFault.Replace(1000, step),
+                        new SoakFault.Replace(3000, step),
+                        new SoakFault.Kill(3400, allBut(0, governors), 5000),
+                        new SoakFault.Replace(4800, step),
+                        new SoakFault.Replace(6500, step / 3));
         return new SoakPlan(
                 seed,
                 13_000,
@@ -70,14 +70,14 @@
         SplittableRandom random = new SplittableRandom(seed);
         int endpoints = 40 + random.nextInt(100);
         double grace = 3000 + random.nextInt(4000);
-        double pace = paceFor(proxies, grace) * (1 + 0.3 * random.nextDouble());
-        List<Fault> faults = new ArrayList<>();
+        double linesPerSecond = paceFor(proxies, grace) * (1 + 0.3 * random.nextDouble());
+        List<SoakFault> faults = new ArrayList<>();
         double at = FIRST_FAULT;
         while (at < duration - RECOVERY) {
-            faults.add(draw(random, at, governors, endpoints));
+            faults.add(randomFault(random, at, governors, endpoints));
             at += interval * (0.2 + 1.6 * random.nextDouble());
         }
-        int queue = (int) (pace * grace / 1000 * (0.5 + random.nextDouble()));
+        int queueLimit = (int) (linesPerSecond * grace / 1000 * (0.5 + random.nextDouble()));
         return new SoakPlan(
                 seed,
                 duration,
@@ -85,8 +85,8 @@
                 proxies,
                 endpoints,
                 grace,
-                pace,
-                queue,
+                linesPerSecond,
+                queueLimit,
                 12,
                 List.copyOf(faults));
     }
@@ -96,31 +96,36 @@
      * second.
      */
     private static double paceFor(int proxies, double grace) {
-        return proxies * (10 + HEAD + 4) * 2 * 1000 / grace;
+        return proxies * (10 + MESSAGE_OVERHEAD_LINES + 4) * 2 * 1000 / grace;
     }
 
-    private static Fault draw(SplittableRandom random, double at, int governors, int endpoints) {
+    private static SoakFault randomFault(
+            SplittableRandom random, double at, int governors, int endpoints) {
         int governor = random.nextInt(governors);
         return switch (random.nextInt(13)) {
-            case 0 -> new Fault.Kill(at, some(random, governors), 1000 + random.nextInt(4000));
+            case 0 ->
+                    new SoakFault.Kill(
+                            at, chooseGovernors(random, governors), 1000 + random.nextInt(4000));
             case 1, 2 ->
-                    new Fault.Kill(
+                    new SoakFault.Kill(
                             at,
                             allBut(random.nextInt(governors), governors),
                             2000 + random.nextInt(4000));
-            case 3 -> new Fault.Restart(at, governor, 300 + random.nextInt(2000));
-            case 4 -> new Fault.Pause(at, governor, 100 + random.nextInt(500));
-            case 5, 6, 7 -> new Fault.Replace(at, 1 + random.nextInt(endpoints / 4));
-            case 8 -> new Fault.ResetStreams(at, 0.3 * random.nextDouble());
-            case 9 -> new Fault.SilenceStreams(at, 0.2 * random.nextDouble());
+            case 3 -> new SoakFault.Restart(at, governor, 300 + random.nextInt(2000));
+            case 4 -> new SoakFault.Pause(at, governor, 100 + random.nextInt(500));
+            case 5, 6, 7 -> new SoakFault.Replace(at, 1 + random.nextInt(endpoints / 4));
+            case 8 -> new SoakFault.ResetStreams(at, 0.3 * random.nextDouble());
+            case 9 -> new SoakFault.SilenceStreams(at, 0.2 * random.nextDouble());
             case 10 ->
                     random.nextBoolean()
-                            ? new Fault.ResetDiscovery(at, governor)
-                            : new Fault.SilenceDiscovery(at, governor, 500 + random.nextInt(4000));
+                            ? new SoakFault.ResetDiscovery(at, governor)
+                            : new SoakFault.SilenceDiscovery(
+                                    at, governor, 500 + random.nextInt(4000));
             case 11 ->
-                    new Fault.LoseAcknowledgements(
+                    new SoakFault.LoseAcknowledgements(
                             at, 0.5 * random.nextDouble(), 500 + random.nextInt(3000));
-            default -> new Fault.Strangers(at, governor, 20 + random.nextInt(150));
+            default ->
+                    new SoakFault.OpenUnjoinedConnections(at, governor, 20 + random.nextInt(150));
         };
     }
 
@@ -135,7 +140,7 @@
     }
 
     /** From one governor up to all but one. */
-    private static Set<Integer> some(SplittableRandom random, int governors) {
+    private static Set<Integer> chooseGovernors(SplittableRandom random, int governors) {
         int count = 1 + random.nextInt(Math.max(1, governors - 1));
         Set<Integer> chosen = new LinkedHashSet<>();
         while (chosen.size() < count) {
--- a/src/main/java/sprucelanding/soak/Soak.java
+++ b/src/main/java/sprucelanding/simulation/soak/SoakRunner.java
@@ -1,4 +1,4 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -17,12 +17,12 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import sprucelanding.loop.Conn;
-import sprucelanding.loop.Http;
-import sprucelanding.loop.Loop;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.HttpParser;
+import sprucelanding.runtime.eventloop.TcpConnection;
 
 /** Runs one plan: real governor processes, the fleet around them, the faults, and the checks. */
-public final class Soak implements FleetProxy.Host {
+public final class SoakRunner implements FleetProxy.Host {
     /**
      * What came of a soak.
      *
@@ -65,20 +65,21 @@
 
     private static final String[] ZONES = {"a", "b", "c"};
     private static final String[] CLASSES = {"read", "write"};
-    private static final int UNREAD = 128 << 10; // bytes that a proxy leaves unread at most
+    private static final int MAX_UNREAD_BYTES =
+            128 << 10; // bytes that a proxy leaves unread at most
     private static final double CHECK_INTERVAL = 50; // ms
     private static final double PING_INTERVAL = 40; // ms
     private static final double START_LIMIT = 30_000; // ms for all governors to be ready
     private static final double DRAIN_TIME = 4000; // ms from draining to gone
     private static final double REPLACEMENT_DELAY =
             700; // ms until what replaces an endpoint is ready
-    private static final double WARM_AFTER = 6000; // ms
+    private static final double WARMUP_MILLIS = 6000; // ms
 
     private final SoakPlan plan;
     private final Path folder;
     private final SplittableRandom random;
-    private final Loop loop;
-    private final EndpointList endpoints;
+    private final EventLoop loop;
+    private final SoakEndpoints endpoints;
     private final InvariantChecker checker;
     private final int port;
     private final List<Governor> governors = new ArrayList<>();
@@ -94,7 +95,7 @@
         final ServeProcess process;
         final DiscoveryServer discovery;
         final Channel channel;
-        final int listen;
+        final int listenPort;
         final int discoveryPort;
         double upSince = Double.POSITIVE_INFINITY;
 
@@ -106,21 +107,21 @@
             process = new ServeProcess(number, folder);
             discovery = new DiscoveryServer(loop, endpoints);
             channel = new Channel(loop, plan.linesPerSecond() / 1000);
-            listen = freePort();
+            listenPort = freePort();
             discoveryPort =
-                    loop.port(
+                    loop.localPort(
                             loop.listen(
                                     loopback(0),
                                     64,
                                     c ->
-                                            loop.adopt(
+                                            loop.register(
                                                     c,
                                                     DiscoveryServer.unread(),
                                                     discovery.accepted())));
         }
 
         void start() {
-            discovery.processStarted(Loop.now());
+            discovery.processStarted(EventLoop.nowMillis());
             channel.clear();
             down = false;
             process.start(config(this));
@@ -129,42 +130,50 @@
 
         /** Asks for a sign of life until it answers. */
         private void ping() {
-            loop.dial(
-                    loopback(listen),
+            loop.connect(
+                    loopback(listenPort),
                     null,
-                    UNREAD,
-                    new Conn.Listener() {
+                    MAX_UNREAD_BYTES,
+                    new TcpConnection.Listener() {
                         private boolean answered;
 
                         @Override
-                        public void connected(Conn c) {
-                            c.write("{\"msg\":\"ping\"}\n".getBytes(StandardCharsets.US_ASCII));
+                        public void onConnected(TcpConnection connection) {
+                            connection.write(
+                                    "{\"msg\":\"ping\"}\n".getBytes(StandardCharsets.US_ASCII));
                         }
 
                         @Override
-                        public void received(Conn c, ByteBuffer in) {
+                        public void onReceived(TcpConnection connection, ByteBuffer input) {
                             answered = true;
-                            upSince = Loop.now();
+                            upSince = EventLoop.nowMillis();
                             proxies.stream()
-                                    .filter(p -> home(p) == Governor.this && p.governor() >= 0)
-                                    .forEach(p -> loop.in(3000 + random.nextInt(5000), p::moves));
-                            c.close();
+                                    .filter(
+                                            proxy ->
+                                                    preferredGovernor(proxy) == Governor.this
+                                                            && proxy.governor() >= 0)
+                                    .forEach(
+                                            proxy ->
+                                                    loop.schedule(
+                                                            3000 + random.nextInt(5000),
+                                                            proxy::handOver));
+                            connection.close();
                         }
 
                         @Override
-                        public void closed(Conn c, String why) {
+                        public void onClosed(TcpConnection connection, String reason) {
                             if (!answered && !down) {
-                                loop.in(PING_INTERVAL, Governor.this::ping);
+                                loop.schedule(PING_INTERVAL, Governor.this::ping);
                             }
                         }
                     });
         }
 
         /** A fault ended it; it comes back after the downtime. */
-        void goesDown(double downtime) {
+        void goDown(double downtime) {
             down = true;
             upSince = Double.POSITIVE_INFINITY;
-            loop.in(downtime, this::start);
+            loop.schedule(downtime, this::start);
         }
     }
 
@@ -174,39 +183,44 @@
      */
     public static Report run(SoakPlan plan, Path folder) throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        Soak soak = new Soak(plan, folder);
+        SoakRunner runner = new SoakRunner(plan, folder);
         try {
-            Thread thread = new Thread(soak.loop, "soak");
+            Thread thread = new Thread(runner.loop, "soak");
             thread.setDaemon(true);
-            soak.begin();
+            runner.start();
             thread.start();
-            return soak.done.get((long) (START_LIMIT + 2 * plan.duration()), TimeUnit.MILLISECONDS);
+            return runner.done.get(
+                    (long) (START_LIMIT + 2 * plan.duration()), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("the soak of seed " + plan.seed() + " did not end: " + e, e);
         } finally {
-            for (Governor each : soak.governors) {
+            for (Governor each : runner.governors) {
                 each.down = true;
                 each.process.stop();
             }
-            soak.loop.close();
+            runner.loop.close();
         }
     }
 
-    private Soak(SoakPlan plan, Path folder) throws IOException {
+    private SoakRunner(SoakPlan plan, Path folder) throws IOException {
         this.plan = plan;
         this.folder = folder;
         random = new SplittableRandom(plan.seed());
-        loop = new Loop("soak");
+        loop = new EventLoop("soak");
         port =
-                loop.port(
+                loop.localPort(
                         loop.listen(
-                                loopback(0), 256, c -> loop.adopt(c, UNREAD, new ProbeAnswers())));
-        endpoints = new EndpointList(plan.endpoints(), ZONES, "127.0.0.1:" + port);
+                                loopback(0),
+                                256,
+                                c ->
+                                        loop.register(
+                                                c, MAX_UNREAD_BYTES, new HealthCheckResponder())));
+        endpoints = new SoakEndpoints(plan.endpoints(), ZONES, "127.0.0.1:" + port);
         checker = new InvariantChecker(plan);
         for (int i = 0; i < plan.governors(); i++) {
             governors.add(new Governor(i));
         }
-        List<String> ready = endpoints.ready().stream().map(EndpointList.Change::uid).toList();
+        List<String> ready = endpoints.ready().stream().map(SoakEndpoints.Change::uid).toList();
         for (int i = 0; i < plan.proxies(); i++) {
             List<String> standing = new ArrayList<>();
             for (int k = 0; k < 6; k++) {
@@ -216,55 +230,61 @@
         }
     }
 
-    private void begin() {
+    private void start() {
         governors.forEach(Governor::start);
         awaitReady();
     }
 
     private void awaitReady() {
-        if (governors.stream().anyMatch(g -> g.upSince == Double.POSITIVE_INFINITY)) {
-            loop.in(PING_INTERVAL, this::awaitReady);
+        if (governors.stream().anyMatch(governor -> governor.upSince == Double.POSITIVE_INFINITY)) {
+            loop.schedule(PING_INTERVAL, this::awaitReady);
             return;
         }
-        proxies.forEach(p -> loop.in(random.nextInt(300), p::connect));
-        loop.in(1000, this::strike);
+        proxies.forEach(proxy -> loop.schedule(random.nextInt(300), proxy::connect));
+        loop.schedule(1000, this::inject);
     }
 
-    private void strike() {
-        for (Fault fault : plan.faults()) {
-            loop.in(fault.at(), () -> strike(fault));
+    private void inject() {
+        for (SoakFault fault : plan.faults()) {
+            loop.schedule(fault.at(), () -> inject(fault));
         }
-        loop.every(CHECK_INTERVAL, this::check);
-        loop.in(plan.duration(), this::end);
+        loop.scheduleWithFixedDelay(CHECK_INTERVAL, this::check);
+        loop.schedule(plan.duration(), this::finish);
     }
 
-    private void strike(Fault fault) {
-        if (fault instanceof Fault.Kill f) {
-            f.governors().forEach(g -> ends(governors.get(g), f.downtime(), true));
-        } else if (fault instanceof Fault.Restart f) {
-            ends(governors.get(f.governor()), f.downtime(), false);
-        } else if (fault instanceof Fault.Pause f) {
-            pause(governors.get(f.governor()), f.length());
-        } else if (fault instanceof Fault.Replace f) {
-            replace(f.count());
-        } else if (fault instanceof Fault.ResetStreams f) {
-            share(f.share()).forEach(FleetProxy::reset);
-        } else if (fault instanceof Fault.SilenceStreams f) {
-            share(f.share()).forEach(FleetProxy::silence);
-        } else if (fault instanceof Fault.SilenceDiscovery f) {
-            governors.get(f.governor()).discovery.silence(true);
-            loop.in(f.length(), () -> governors.get(f.governor()).discovery.silence(false));
-        } else if (fault instanceof Fault.ResetDiscovery f) {
-            governors.get(f.governor()).discovery.reset();
-        } else if (fault instanceof Fault.LoseAcknowledgements f) {
-            acknowledgementLoss = f.probability();
-            loop.in(f.length(), () -> acknowledgementLoss = 0);
-        } else if (fault instanceof Fault.Strangers f) {
-            strangers(governors.get(f.governor()), f.count());
+    private void inject(SoakFault fault) {
+        if (fault instanceof SoakFault.Kill kill) {
+            kill.governors()
+                    .forEach(
+                            candidate ->
+                                    endGovernor(governors.get(candidate), kill.downtime(), true));
+        } else if (fault instanceof SoakFault.Restart restart) {
+            endGovernor(governors.get(restart.governor()), restart.downtime(), false);
+        } else if (fault instanceof SoakFault.Pause pauseFault) {
+            pause(governors.get(pauseFault.governor()), pauseFault.length());
+        } else if (fault instanceof SoakFault.Replace replacement) {
+            replace(replacement.count());
+        } else if (fault instanceof SoakFault.ResetStreams resetStreams) {
+            chooseProxies(resetStreams.share()).forEach(FleetProxy::reset);
+        } else if (fault instanceof SoakFault.SilenceStreams silenceStreams) {
+            chooseProxies(silenceStreams.share()).forEach(FleetProxy::silence);
+        } else if (fault instanceof SoakFault.SilenceDiscovery silenceDiscovery) {
+            governors.get(silenceDiscovery.governor()).discovery.silence(true);
+            loop.schedule(
+                    silenceDiscovery.length(),
+                    () -> governors.get(silenceDiscovery.governor()).discovery.silence(false));
+        } else if (fault instanceof SoakFault.ResetDiscovery resetDiscovery) {
+            governors.get(resetDiscovery.governor()).discovery.reset();
+        } else if (fault instanceof SoakFault.LoseAcknowledgements loseAcknowledgements) {
+            acknowledgementLoss = loseAcknowledgements.probability();
+            loop.schedule(loseAcknowledgements.length(), () -> acknowledgementLoss = 0);
+        } else if (fault instanceof SoakFault.OpenUnjoinedConnections unjoinedConnections) {
+            openUnjoinedConnections(
+                    governors.get(unjoinedConnections.governor()), unjoinedConnections.count());
         }
     }
 
-    private void ends(Governor governor, double downtime, boolean killed) {
+    private void endGovernor(Governor governor, double downtime, boolean killed) {
         if (governor.down || governor.upSince == Double.POSITIVE_INFINITY) {
             return;
         }
@@ -272,24 +292,24 @@
             governor.process.kill();
         } else {
             governor.process.signal("TERM");
-            loop.in(
+            loop.schedule(
                     700,
                     () -> {
-                        if (governor.down && governor.process.alive()) {
+                        if (governor.down && governor.process.isAlive()) {
                             governor.process.kill();
                         }
                     });
         }
-        governor.goesDown(downtime + (killed ? 0 : 800));
+        governor.goDown(downtime + (killed ? 0 : 800));
     }
 
     private void pause(Governor governor, double length) {
-        if (!governor.down && governor.process.alive()) {
+        if (!governor.down && governor.process.isAlive()) {
             governor.process.signal("STOP");
-            loop.in(
+            loop.schedule(
                     length,
                     () -> {
-                        if (governor.process.alive()) {
+                        if (governor.process.isAlive()) {
                             governor.process.signal("CONT");
                         }
                     });
@@ -297,44 +317,53 @@
     }
 
     private void replace(int count) {
-        List<EndpointList.Change> ready = endpoints.ready();
-        List<EndpointList.Change> oldest = ready.subList(0, Math.min(count, ready.size() * 2 / 3));
-        double now = Loop.now();
-        oldest.forEach(e -> endpoints.change(e.uid(), EndpointList.State.DRAINING, now));
+        List<SoakEndpoints.Change> ready = endpoints.ready();
+        List<SoakEndpoints.Change> oldest = ready.subList(0, Math.min(count, ready.size() * 2 / 3));
+        double now = EventLoop.nowMillis();
+        oldest.forEach(
+                endpoint -> endpoints.change(endpoint.uid(), SoakEndpoints.State.DRAINING, now));
         publish();
-        loop.in(
+        loop.schedule(
                 REPLACEMENT_DELAY,
                 () -> {
                     oldest.forEach(
-                            e -> endpoints.add(e.zone(), System.currentTimeMillis(), Loop.now()));
+                            endpoint ->
+                                    endpoints.add(
+                                            endpoint.zone(),
+                                            System.currentTimeMillis(),
+                                            EventLoop.nowMillis()));
                     publish();
                 });
-        loop.in(
+        loop.schedule(
                 DRAIN_TIME,
                 () -> {
                     oldest.forEach(
-                            e -> endpoints.change(e.uid(), EndpointList.State.GONE, Loop.now()));
+                            endpoint ->
+                                    endpoints.change(
+                                            endpoint.uid(),
+                                            SoakEndpoints.State.GONE,
+                                            EventLoop.nowMillis()));
                     publish();
                 });
     }
 
     private void publish() {
-        governors.forEach(g -> g.discovery.publish());
+        governors.forEach(governor -> governor.discovery.publish());
     }
 
-    private List<FleetProxy> share(double share) {
-        return proxies.stream().filter(p -> random.nextDouble() < share).toList();
+    private List<FleetProxy> chooseProxies(double share) {
+        return proxies.stream().filter(proxy -> random.nextDouble() < share).toList();
     }
 
-    private void strangers(Governor governor, int count) {
+    private void openUnjoinedConnections(Governor governor, int count) {
         for (int i = 0; i < count; i++) {
-            loop.dial(
-                    loopback(governor.listen),
+            loop.connect(
+                    loopback(governor.listenPort),
                     null,
-                    UNREAD,
-                    new Conn.Listener() {
+                    MAX_UNREAD_BYTES,
+                    new TcpConnection.Listener() {
                         @Override
-                        public void received(Conn c, ByteBuffer in) {
+                        public void onReceived(TcpConnection connection, ByteBuffer input) {
                             // whatever it is told
                         }
                     });
@@ -342,8 +371,8 @@
     }
 
     private void check() {
-        double now = Loop.now();
-        List<EndpointList.Change> removed = endpoints.removed();
+        double now = EventLoop.nowMillis();
+        List<SoakEndpoints.Change> removed = endpoints.removed();
         for (FleetProxy proxy : proxies) {
             Governor governor = proxy.governor() < 0 ? null : governors.get(proxy.governor());
             if (governor != null && !governor.down && governor.upSince < now) {
@@ -351,14 +380,14 @@
             }
         }
         for (Governor governor : governors) {
-            if (!governor.down && !governor.process.alive()) {
+            if (!governor.down && !governor.process.isAlive()) {
                 checker.crashed(governor.number);
-                governor.goesDown(0);
+                governor.goDown(0);
             }
         }
     }
 
-    private void end() {
+    private void finish() {
         long overdue = 0;
         for (Governor governor : governors) {
             String failure = governor.process.failureLogged();
@@ -367,37 +396,43 @@
             }
             overdue += governor.process.overdueLogged();
         }
-        Map<String, Integer> found = new TreeMap<>();
-        checker.violations().forEach((rule, count) -> found.put(rule.name(), count));
+        Map<String, Integer> violations = new TreeMap<>();
+        checker.violations().forEach((rule, count) -> violations.put(rule.name(), count));
         done.complete(
                 new Report(
                         plan.seed(),
-                        found,
+                        violations,
                         List.copyOf(checker.examples()),
                         joins,
                         messages,
                         overdue));
     }
 
-    private Governor home(FleetProxy proxy) {
+    private Governor preferredGovernor(FleetProxy proxy) {
         return governors.get(proxy.number % governors.size());
     }
 
     @Override
     public int governorFor(FleetProxy proxy) {
-        List<Governor> up =
-                governors.stream().filter(g -> !g.down && g.upSince < Loop.now()).toList();
-        Governor home = home(proxy);
-        if (up.contains(home)) {
-            return home.number;
+        List<Governor> available =
+                governors.stream()
+                        .filter(
+                                candidate ->
+                                        !candidate.down
+                                                && candidate.upSince < EventLoop.nowMillis())
+                        .toList();
+        Governor preferred = preferredGovernor(proxy);
+        if (available.contains(preferred)) {
+            return preferred.number;
         }
-        return up.isEmpty() ? -1 : up.get(random.nextInt(up.size())).number;
+        return available.isEmpty() ? -1 : available.get(random.nextInt(available.size())).number;
     }
 
     @Override
-    public Conn dial(int governor, Conn.Listener listener) {
+    public TcpConnection dial(int governor, TcpConnection.Listener listener) {
         joins++;
-        return loop.dial(loopback(governors.get(governor).listen), null, UNREAD, listener);
+        return loop.connect(
+                loopback(governors.get(governor).listenPort), null, MAX_UNREAD_BYTES, listener);
     }
 
     @Override
@@ -406,14 +441,17 @@
     }
 
     @Override
-    public boolean losesAcknowledgement() {
+    public boolean dropsAcknowledgement() {
         return random.nextDouble() < acknowledgementLoss;
     }
 
     @Override
     public void messageSent(FleetProxy proxy, int governor, int lines) {
         messages++;
-        checker.checkMessage(proxy, governors.get(governor).channel.waiting() + lines, Loop.now());
+        checker.checkMessage(
+                proxy,
+                governors.get(governor).channel.waitingLines() + lines,
+                EventLoop.nowMillis());
     }
 
     @Override
@@ -422,17 +460,17 @@
     }
 
     private String config(Governor governor) {
-        String known = endpoints.json(endpoints.answer(-1), true);
+        String knownEndpoints = endpoints.json(endpoints.responseSince(-1), true);
         return "{\"name\":\"n"
                 + governor.number
                 + "\",\"listen\":\"127.0.0.1:"
-                + governor.listen
+                + governor.listenPort
                 + "\",\"discovery\":\"127.0.0.1:"
                 + governor.discoveryPort
                 + "\",\"seed\":\""
                 + Long.toHexString(plan.seed() + governor.number)
                 + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1240},\"known\":"
-                + known
+                + knownEndpoints
                 + ",\"settings\":"
                 + settings()
                 + "}";
@@ -446,7 +484,7 @@
                 + "{\"name\":\"write\",\"effect\":\"side_effect\",\"worth\":2,\"promiseUs\":800000}],"
                 + "\"zones\":[\"a\",\"b\",\"c\"],\"kinds\":[\"m1\"],\"report\":{\"how\":\"answers\",\"names\":[\"cpu_share\"]},"
                 + "\"contract\":{\"coldFrom\":0.3,\"warmAfterUs\":"
-                + micros(WARM_AFTER)
+                + micros(WARMUP_MILLIS)
                 + ",\"drainGraceUs\":"
                 + micros(plan.grace())
                 + "},\"familyInfo\":{\"admit\":\"share\",\"proxies\":"
@@ -454,7 +492,7 @@
                 + ",\"egressPerS\":"
                 + plan.linesPerSecond()
                 + ",\"head\":"
-                + SoakPlan.HEAD
+                + SoakPlan.MESSAGE_OVERHEAD_LINES
                 + ",\"queueCap\":"
                 + plan.queueLimit()
                 + ",\"updateCap\":"
@@ -478,13 +516,13 @@
     }
 
     /** Every endpoint answers every probe at once, half busy. */
-    private static final class ProbeAnswers implements Conn.Listener {
+    private static final class HealthCheckResponder implements TcpConnection.Listener {
         private static final byte[] BODY = "TEXT cpu_share=0.5".getBytes(StandardCharsets.US_ASCII);
 
         @Override
-        public void received(Conn c, ByteBuffer in) {
-            c.write(Http.response(200, BODY, "Connection", "close"));
-            c.finish(1000);
+        public void onReceived(TcpConnection connection, ByteBuffer input) {
+            connection.write(HttpParser.response(200, BODY, "Connection", "close"));
+            connection.finish(1000);
         }
     }
 }
--- a/src/main/java/sprucelanding/soak/package-info.java
+++ b/src/main/java/sprucelanding/simulation/soak/package-info.java
@@ -4,4 +4,4 @@
  * checks the rules on what the proxies hold. Everything but the governors runs on one loop. Times
  * are milliseconds on the machine's monotonic clock.
  */
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
--- a/src/test/java/sprucelanding/program/RecordedHelpTest.java
+++ b/src/test/java/sprucelanding/cli/RecordedHelpTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.program;
+package sprucelanding.cli;
 
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/sprucelanding/program/RecordedReportsTest.java
+++ b/src/test/java/sprucelanding/cli/RecordedReportsTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.program;
+package sprucelanding.cli;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/sprucelanding/records/PackageTest.java
+++ b/src/test/java/sprucelanding/config/records/PackageTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.records;
+package sprucelanding.config.records;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -20,37 +20,37 @@
 class PackageTest {
     @TempDir Path folder;
 
-    private void file(String name, String text) throws IOException {
+    private void writeFile(String name, String text) throws IOException {
         Path file = folder.resolve(name);
         Files.createDirectories(file.getParent());
         Files.writeString(file, text);
     }
 
-    private RecordsTest.Inn inn() throws Exception {
+    private RecordsTest.Inn readInn() throws Exception {
         return Records.read(folder, "inn.cue", "#Inn", RecordsTest.Inn.class);
     }
 
     private List<String> faults() {
-        return assertThrows(Invalid.class, this::inn).faults();
+        return assertThrows(InvalidRecordsException.class, this::readInn).faults();
     }
 
     @Test
-    void whatOneFileLeavesOpenAnotherMayGiveAndRefersToIt() throws Exception {
-        file("a.cue", "package inn\nname: \"Boar\"\nopens: late\nlate: >=1s");
-        file("b.cue", "package inn\nkeeper: name: name");
-        file("c.cue", "package inn\nlate: 2s\nrooms: []");
+    void filesOfOnePackageCompleteAndReferenceEachOther() throws Exception {
+        writeFile("a.cue", "package inn\nname: \"Boar\"\nopens: late\nlate: >=1s");
+        writeFile("b.cue", "package inn\nkeeper: name: name");
+        writeFile("c.cue", "package inn\nlate: 2s\nrooms: []");
         assertTrue(faults().get(0).contains("late: there is no such field"), faults().toString());
-        file("a.cue", "package inn\n#late: 2s\nname: \"Boar\"\nopens: >=1s");
-        file("c.cue", "package inn\nopens: #late\nrooms: []");
-        assertEquals(2000, inn().opens());
-        assertEquals("Boar", inn().keeper().name());
+        writeFile("a.cue", "package inn\n#late: 2s\nname: \"Boar\"\nopens: >=1s");
+        writeFile("c.cue", "package inn\nopens: #late\nrooms: []");
+        assertEquals(2000, readInn().opens());
+        assertEquals("Boar", readInn().keeper().name());
     }
 
     @Test
-    void aConflictAcrossFilesShowsBothSides() throws Exception {
-        file("a.cue", "name: \"Boar\"\nopens: 1s\nkeeper: name: \"K\"\nrooms: []");
-        file("b.cue", "opens: <500ms");
-        file("c.cue", "name: \"Hart\"");
+    void conflictAcrossFilesReportsBothPositions() throws Exception {
+        writeFile("a.cue", "name: \"Boar\"\nopens: 1s\nkeeper: name: \"K\"\nrooms: []");
+        writeFile("b.cue", "opens: <500ms");
+        writeFile("c.cue", "name: \"Hart\"");
         List<String> faults = faults();
         String folderName = folder.getFileName().toString();
         assertTrue(
@@ -64,19 +64,19 @@
         assertTrue(
                 faults.stream().anyMatch(f -> f.contains("a.cue:2:8") && f.contains("b.cue:1:8")),
                 faults.toString());
-        file("d.cue", "package other");
-        file("e.cue", "package inn");
+        writeFile("d.cue", "package other");
+        writeFile("e.cue", "package inn");
         assertTrue(faults().get(0).contains("package inn, but other"), faults().toString());
     }
 
     @Test
-    void comprehensionsMakeItemsOfListsAndStringsOfValues() throws Exception {
-        file(
+    void comprehensionsBuildListsAndInterpolationBuildsStrings() throws Exception {
+        writeFile(
                 "a.cue",
                 "name: \"inn \\(#floors)\"\nopens: 1s\nkeeper: name: \"K\"\n#floors: 3\n"
                         + "#sizes: [1, 2, 3, 4]\nrooms: [{beds: 9}, for i, n in #sizes for half in [50%, 40%] if n >= 3 if half != 40% "
                         + "{beds: n, full: half}]");
-        RecordsTest.Inn inn = inn();
+        RecordsTest.Inn inn = readInn();
         assertEquals("inn 3", inn.name());
         assertEquals(
                 List.of(
@@ -84,7 +84,7 @@
                         new RecordsTest.Room(3, 0.5),
                         new RecordsTest.Room(4, 0.5)),
                 inn.rooms());
-        file(
+        writeFile(
                 "a.cue",
                 "name: \"x\"\nopens: 1s\nkeeper: name: \"K\"\nrooms: [for n in 7 {beds: n}, for n in [1] if n < \"a\" {beds: n}]");
         assertTrue(
@@ -94,42 +94,42 @@
     }
 
     @Test
-    void importsComeFromBelowTheConfigFolderOnlyAndNotInCircles() throws Exception {
-        file(
+    void importsOutsideTheConfigFolderAndImportCyclesAreRejected() throws Exception {
+        writeFile(
                 "a.cue",
                 "import \"people/staff\"\nname: \"Boar\"\nopens: 1s\nkeeper: staff.#Keeper\nrooms: []");
-        file("people/staff/s.cue", "#Keeper: {name: \"K\", strict: true}");
-        assertEquals(new RecordsTest.Keeper("K", true), inn().keeper());
-        file("people/staff/t.cue", "import \"people/staff\"");
+        writeFile("people/staff/s.cue", "#Keeper: {name: \"K\", strict: true}");
+        assertEquals(new RecordsTest.Keeper("K", true), readInn().keeper());
+        writeFile("people/staff/t.cue", "import \"people/staff\"");
         assertTrue(faults().get(0).contains("imported by what it imports"), faults().toString());
         Files.delete(folder.resolve("people/staff/t.cue"));
-        for (String out : List.of("../x", "/etc", "", ".", "people/nobody")) {
-            file("b.cue", "import \"" + out + "\"");
+        for (String outside : List.of("../x", "/etc", "", ".", "people/nobody")) {
+            writeFile("b.cue", "import \"" + outside + "\"");
             assertTrue(faults().get(0).contains("b.cue:1:1: import"), faults().toString());
         }
         Files.delete(folder.resolve("b.cue"));
         Files.createSymbolicLink(folder.resolve("away"), Files.createTempDirectory("outside"));
-        file("b.cue", "import \"away\"");
+        writeFile("b.cue", "import \"away\"");
         assertTrue(faults().get(0).contains("a link leads outside"), faults().toString());
     }
 
     @Test
-    void hugeInputsAreRefusedAndNotHungOn() throws Exception {
-        file("a.cue", "rooms: [" + "{beds: 1},\n".repeat(5_000_000) + "]"); // some 50 MB
+    void hugeInputsAreRejectedWithoutHanging() throws Exception {
+        writeFile("a.cue", "rooms: [" + "{beds: 1},\n".repeat(5_000_000) + "]"); // some 50 MB
         assertTrue(faults().get(0).contains("more than 16777216 characters"), faults().toString());
-        file(
+        writeFile(
                 "a.cue",
                 "#l: [0, 1, 2, 3, 4, 5, 6, 7, 8, 9]\nrooms: [for a in #l for b in #l for c in #l for d in #l "
                         + "for e in #l for f in #l for g in #l {beds: 1}]");
         assertTrue(
                 faults().stream().anyMatch(f -> f.contains("more than 1000000 items")),
                 () -> faults().get(0));
-        file("a.cue", "a: b: c: ".repeat(60) + "1");
+        writeFile("a.cue", "a: b: c: ".repeat(60) + "1");
         assertTrue(faults().size() > 0);
     }
 
     @Provide
-    Arbitrary<String> soup() {
+    Arbitrary<String> tokenSequences() {
         return Arbitraries.of(
                         "{",
                         "}",
@@ -173,10 +173,10 @@
     }
 
     @Property(tries = 2000, seed = "1")
-    void whateverIsReadItIsAValueOrNamedFaults(@ForAll("soup") String text) {
+    void anyInputGivesAValueOrFaultsWithPositions(@ForAll("soup") String text) {
         try {
             Records.parse("x.cue", text, "inn.cue", "#Inn", RecordsTest.Inn.class);
-        } catch (Invalid e) {
+        } catch (InvalidRecordsException e) {
             assertTrue(
                     e.faults().stream().allMatch(f -> f.matches("(?s)(x|inn)\\.cue:\\d+:\\d+: .*")),
                     e.faults().toString());
@@ -184,44 +184,48 @@
     }
 
     @Property(tries = 500, seed = "2")
-    void whatWasFormattedStaysAsItIsAndMeansTheSame(@ForAll("soup") String text) throws Invalid {
+    void formattingIsIdempotent(@ForAll("soup") String text) throws InvalidRecordsException {
         String once;
         try {
-            once = Format.of("x.cue", text);
-        } catch (Invalid e) {
+            once = RecordFormatter.format("x.cue", text);
+        } catch (InvalidRecordsException e) {
             return;
         }
-        assertEquals(once, Format.of("x.cue", once));
+        assertEquals(once, RecordFormatter.format("x.cue", once));
     }
 
     @Test
-    void fmtGivesOneLookAndKeepsComments() throws Exception {
+    void formattingNormalizesLayoutAndKeepsComments() throws Exception {
         assertEquals(
                 "// top\nname: \"x\" // of it\n\nrooms: [\n\t{beds: 1, full: >=0.5 & <1},\n]\nkeeper: {\n\tname: \"K\"\n}\n",
-                Format.of(
+                RecordFormatter.format(
                         "x.cue",
                         "// top\nname :\"x\"   // of it  \n\n\n\nrooms:[\n      { beds:1,full:>=0.5&<1 } ,\n]\nkeeper:{\nname: \"K\"\n}"));
     }
 
     @Test
-    void showTellsEachValueAndWhereItWasGiven() throws Exception {
-        file("a.cue", "name: \"Boar\"\nopens: 1s\nkeeper: name: \"K\"");
-        file("b.cue", "rooms: [{beds: 2}]");
-        List<Records.Shown> shown = Records.show(folder, "inn.cue", "#Inn", RecordsTest.class);
-        String here = folder.getFileName() + "/";
+    void showListsEachValueWithItsPosition() throws Exception {
+        writeFile("a.cue", "name: \"Boar\"\nopens: 1s\nkeeper: name: \"K\"");
+        writeFile("b.cue", "rooms: [{beds: 2}]");
+        List<Records.ResolvedField> fields =
+                Records.show(folder, "inn.cue", "#Inn", RecordsTest.class);
+        String folderPrefix = folder.getFileName() + "/";
         assertTrue(
-                shown.contains(new Records.Shown("name", "\"Boar\"", here + "a.cue:1:7")),
-                shown.toString());
+                fields.contains(
+                        new Records.ResolvedField("name", "\"Boar\"", folderPrefix + "a.cue:1:7")),
+                fields.toString());
         assertTrue(
-                shown.contains(new Records.Shown("rooms[0].beds", "2", here + "b.cue:1:16")),
-                shown.toString());
+                fields.contains(
+                        new Records.ResolvedField(
+                                "rooms[0].beds", "2", folderPrefix + "b.cue:1:16")),
+                fields.toString());
         assertTrue(
-                shown.stream()
+                fields.stream()
                         .anyMatch(
                                 s ->
                                         s.field().equals("mood")
                                                 && s.value().equals("\"calm\"")
-                                                && s.place().startsWith("inn.cue:")),
-                shown.toString());
+                                                && s.position().startsWith("inn.cue:")),
+                fields.toString());
     }
 }
--- a/src/test/java/sprucelanding/records/RecordedFieldsTest.java
+++ b/src/test/java/sprucelanding/config/records/RecordedFieldsTest.java
@@ -1,14 +1,14 @@
-package sprucelanding.records;
+package sprucelanding.config.records;
 
 import java.lang.reflect.ParameterizedType;
 import java.lang.reflect.RecordComponent;
 import java.lang.reflect.Type;
 import org.junit.jupiter.api.Test;
-import sprucelanding.day.Script;
-import sprucelanding.expect.Expectations;
-import sprucelanding.lab.Experiment;
+import sprucelanding.config.governor.GovernorConfig;
 import sprucelanding.recorded.Recorded;
-import sprucelanding.station.Station;
+import sprucelanding.simulation.expectation.Expectations;
+import sprucelanding.simulation.experiment.Experiment;
+import sprucelanding.simulation.scenario.Scenario;
 
 /**
  * Fields of the configuration files. They are bound by the names of record components, and a
@@ -20,8 +20,8 @@
     @Test
     void componentsAreNamedAsTheFieldsOfTheFiles() throws Exception {
         StringBuilder fields = new StringBuilder();
-        append(fields, "station", Station.class);
-        append(fields, "day", Script.class);
+        append(fields, "station", GovernorConfig.class);
+        append(fields, "day", Scenario.class);
         append(fields, "lab", Experiment.class);
         append(fields, "expect", Expectations.class);
         Recorded.assertText("reports/configuration-fields.txt", fields.toString());
--- a/src/test/java/sprucelanding/records/RecordsTest.java
+++ b/src/test/java/sprucelanding/config/records/RecordsTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.records;
+package sprucelanding.config.records;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -16,18 +16,18 @@
 
     record Keeper(String name, boolean strict) {}
 
-    private static Inn inn(String text) throws Invalid {
+    private static Inn parseInn(String text) throws InvalidRecordsException {
         return Records.parse("my.cue", text, "inn.cue", "#Inn", Inn.class);
     }
 
     private static List<String> faults(String text) {
-        return assertThrows(Invalid.class, () -> inn(text)).faults();
+        return assertThrows(InvalidRecordsException.class, () -> parseInn(text)).faults();
     }
 
     @Test
-    void unitsDefaultsReferencesAndShortFormsComeOutAsPlainValues() throws Exception {
+    void unitsDefaultsReferencesAndShorthandAreResolved() throws Exception {
         Inn inn =
-                inn(
+                parseInn(
                         "name: \"Boar\" // comment\nopens: 1.5s\nkeeper: name: name\nrooms: [{beds: 2, full: 40%}, {beds: 3}]");
         assertEquals(
                 new Inn(
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void severalFaultsAreNamedAtOnceWithTheirPlaces() {
+    void allFaultsAreReportedTogetherWithPositions() {
         List<String> faults =
                 faults(
                         "name: 7\nopens: 90%\nrooms: [{beds: 2},\n  {beds: 0}]\nkeeper: name: \"K\"\nmod: \"calm\"");
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aValueThatIsNotGivenOrNoneOfTheAlternativesIsNamed() {
+    void missingAndUnmatchedValuesAreReportedByField() {
         assertTrue(
                 faults("name: \"x\"\nrooms: []\nkeeper: name: \"K\"")
                         .get(0)
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void noInputHangsOrBlowsTheStack() {
+    void hostileInputNeitherHangsNorOverflowsTheStack() {
         assertTrue(faults("[".repeat(100_000)).get(0).contains("levels"));
         assertTrue(faults("name: " + "(".repeat(60) + "\"x\"").size() > 0);
         assertTrue(faults("name: name").get(0).contains("refers to itself"));
--- a/src/test/java/sprucelanding/decision/BindBudgetTest.java
+++ b/src/test/java/sprucelanding/control/decision/BindBudgetTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.decision;
+package sprucelanding.control.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sprucelanding/ChannelBudgetTest.java
+++ b/src/test/java/sprucelanding/control/decision/ChannelBudgetTest.java
@@ -1,4 +1,4 @@
-package sprucelanding;
+package sprucelanding.control.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sprucelanding.ChannelBudget.Purpose;
+import sprucelanding.control.decision.ChannelBudget.Purpose;
 
 /** A channel of 3 lines a ms where 5000 may wait; a head costs 6 lines and a receipt one. */
 class ChannelBudgetTest {
@@ -16,39 +16,39 @@
     private int receipt;
 
     private void writes() {
-        channel.limits(3, 6, 5000, 0, 10_000);
-        channel.clock(1000);
-        assertTrue(channel.fits(List.of(small), 3, ChannelBudget.ALL, Purpose.LINE));
-        assertTrue(channel.fits(List.of(large), 2983, ChannelBudget.ALL, Purpose.BIND));
-        assertEquals(3000, channel.waiting());
-        receipt = channel.endMoment(2);
-        channel.clock(1200);
+        channel.configure(3, 6, 5000, 0, 10_000);
+        channel.setTime(1000);
+        assertTrue(channel.book(List.of(small), 3, ChannelBudget.FULL_SHARE, Purpose.LINE));
+        assertTrue(channel.book(List.of(large), 2983, ChannelBudget.FULL_SHARE, Purpose.BIND));
+        assertEquals(3000, channel.queuedLines());
+        receipt = channel.closeBatch(2);
+        channel.setTime(1200);
     }
 
     @Test
     void aSmallMessageThatIsConfirmedDoesNotShowThatALargeOneHasLeft() {
         writes();
         channel.acknowledged(small.id, receipt);
-        assertEquals(2990, channel.waiting());
-        assertFalse(channel.fits(List.of(small), 2100, ChannelBudget.ALL, Purpose.REMOVAL));
+        assertEquals(2990, channel.queuedLines());
+        assertFalse(channel.book(List.of(small), 2100, ChannelBudget.FULL_SHARE, Purpose.REMOVAL));
         channel.acknowledged(large.id, receipt);
-        assertEquals(0, channel.waiting());
+        assertEquals(0, channel.queuedLines());
     }
 
     @Test
     void whereTheProxyIsNotKnownAShareCounts() {
         writes();
         channel.acknowledged(receipt);
-        assertEquals(1500, channel.waiting());
+        assertEquals(1500, channel.queuedLines());
     }
 
     @Test
     void aConfirmationOfALaterMomentShowsThatAllBeforeHasLeft() {
         writes();
-        assertTrue(channel.fits(List.of(small), 3, ChannelBudget.ALL, Purpose.LINE));
-        int later = channel.endMoment(1);
-        channel.clock(1400);
+        assertTrue(channel.book(List.of(small), 3, ChannelBudget.FULL_SHARE, Purpose.LINE));
+        int later = channel.closeBatch(1);
+        channel.setTime(1400);
         channel.acknowledged(small.id, later);
-        assertEquals(0, channel.waiting());
+        assertEquals(0, channel.queuedLines());
     }
 }
--- a/src/test/java/sprucelanding/decision/DrainTrackerTest.java
+++ b/src/test/java/sprucelanding/control/decision/DrainTrackerTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.decision;
+package sprucelanding.control.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,7 +19,7 @@
 
     private void boundProxy(int proxy, double now, long message) {
         tracker.proxyJoined(proxy, now, message);
-        tracker.boundBy(proxy, message);
+        tracker.tablesCompleted(proxy, message);
         tracker.acknowledged(proxy, message);
     }
 
@@ -37,7 +37,7 @@
     void aBindIsSettledByItsAcknowledgementOnly() {
         tracker.endpointRemoved(10, 0);
         tracker.proxyJoined(1, 0, 1);
-        tracker.boundBy(1, 3);
+        tracker.tablesCompleted(1, 3);
         tracker.acknowledged(1, 2);
         assertEquals(
                 List.of(new DrainTracker.Overdue(1, 10, 1000, DrainTracker.Cause.NOT_ACKNOWLEDGED)),
@@ -124,7 +124,7 @@
     void shuttingOutReachesThoseThatHadJoinedByThen() {
         tracker.proxyJoined(1, 0, 1);
         tracker.endpointRemoved(10, 100);
-        tracker.shutOut(10, 1);
+        tracker.ejectedEverywhere(10, 1);
         assertEquals(Double.POSITIVE_INFINITY, tracker.bindDeadline(1));
         tracker.proxyJoined(2, 200, 2);
         assertEquals(1200, tracker.bindDeadline(2));
@@ -136,7 +136,7 @@
     void shuttingOutIsSettledByItsAcknowledgementOnly() {
         tracker.proxyJoined(1, 0, 1);
         tracker.endpointRemoved(10, 100);
-        tracker.shutOut(10, 2);
+        tracker.ejectedEverywhere(10, 2);
         tracker.acknowledged(1, 1);
         assertEquals(DrainTracker.Cause.NOT_ACKNOWLEDGED, overdueAt(1101).get(0).cause());
         tracker.proxyJoined(2, 0, 1);
--- a/src/test/java/sprucelanding/FailoverDecisionsTest.java
+++ b/src/test/java/sprucelanding/control/decision/FailoverDecisionsTest.java
@@ -1,4 +1,4 @@
-package sprucelanding;
+package sprucelanding.control.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,80 +19,81 @@
     private static final double GRACE = 4000;
     private static final double TRANSIT = 400;
 
-    private static FakeHost calmGovernor(int messageCap) {
-        FakeHost host =
-                new FakeHost(
-                        Choice.Admission.SHARE,
+    private static FakeControllerHost calmGovernor(int messageCap) {
+        FakeControllerHost host =
+                new FakeControllerHost(
+                        RoutingController.AdmissionMode.SHARE,
                         messageCap,
-                        FakeHost.product(0, true, 1),
-                        FakeHost.product(1, false, 2));
-        host.drains = true;
-        host.choice.channel(5, 6, 8000, messageCap, 10_000);
-        host.choice.roll(true, false, 0.2, 16_000);
-        host.choice.fleet(FLEET, 5, GRACE, TRANSIT);
-        host.list(true, ENDPOINTS);
+                        FakeControllerHost.requestClass(0, true, 1),
+                        FakeControllerHost.requestClass(1, false, 2));
+        host.acknowledgesMessages = true;
+        host.controller.configureChannel(5, 6, 8000, messageCap, 10_000);
+        host.controller.configureEndpointList(true, false, 0.2, 16_000);
+        host.controller.configureFleet(FLEET, 5, GRACE, TRANSIT);
+        host.listEndpoints(true, ENDPOINTS);
         for (int id = 0; id < OWN; id++) {
-            host.choice.joined(id, 0, 10, true);
+            host.controller.proxyJoined(id, 0, 10, true);
         }
         host.settle();
         host.run(8, () -> reports(host));
         return host;
     }
 
-    private static void reports(FakeHost host) {
+    private static void reports(FakeControllerHost host) {
         for (long id = 1; id <= ENDPOINTS; id++) {
-            host.choice.met(id, 10, 0, 100, 0.5);
+            host.controller.endpointStatsReported(id, 10, 0, 100, 0.5);
         }
     }
 
-    private static void drain(FakeHost host, long from, long to) {
-        host.choice.listOpens(false, false);
+    private static void drain(FakeControllerHost host, long from, long to) {
+        host.controller.endpointListStarted(false, false);
         for (long id = from; id <= to; id++) {
-            host.choice.listed(id, (int) (id % 3), 0, 1, 0, Choice.Stage.DRAINING);
+            host.controller.endpointListed(
+                    id, (int) (id % 3), 0, 1, 0, RoutingController.EndpointState.DRAINING);
         }
-        host.choice.listCloses();
+        host.controller.endpointListCompleted();
         host.settle();
     }
 
     /** All proxies of the other governors come within half a second. */
-    private static void inherit(FakeHost host) {
+    private static void inherit(FakeControllerHost host) {
         for (int step = 0; step < 10; step++) {
             host.now += 50;
-            host.choice.clock(host.now);
+            host.controller.setTime(host.now);
             for (int id = OWN + step * 32; id < OWN + (step + 1) * 32; id++) {
-                host.choice.joined(id, 0, 10, false);
+                host.controller.proxyJoined(id, 0, 10, false);
             }
             host.settle();
         }
     }
 
-    private static long lines(FakeHost host, int proxy) {
-        return host.tables.get(host.places.get(proxy)).values().stream()
+    private static long lines(FakeControllerHost host, int proxy) {
+        return host.tables.get(host.tableByProxy.get(proxy)).values().stream()
                 .filter(weight -> weight > 0)
                 .count();
     }
 
     @Test
     void allThatAreInheritedAreBoundWithinTheGraceThoughRegularTablesWouldTakeTooLong() {
-        FakeHost host = calmGovernor(0);
+        FakeControllerHost host = calmGovernor(0);
         drain(host, 1, 30);
-        host.drains = false; // no receipt comes: half of the pace is trusted
+        host.acknowledgesMessages = false; // no receipt comes: half of the pace is trusted
         inherit(host);
         host.run(3, () -> reports(host));
-        assertEquals(FLEET, host.bound.size());
+        assertEquals(FLEET, host.boundClassesByProxy.size());
         assertTrue(lines(host, OWN + 100) < lines(host, 0), "smaller tables than in calm times");
     }
 
     @Test
     void nobodyIsLeftOnASmallTableOnceTheRushIsOver() {
-        FakeHost host = calmGovernor(0);
+        FakeControllerHost host = calmGovernor(0);
         long regular = lines(host, 0);
         drain(host, 1, 30);
-        host.drains = false;
+        host.acknowledgesMessages = false;
         inherit(host);
         host.run(3, () -> reports(host));
-        host.drains = true;
-        TreeSet<Integer> small = new TreeSet<>(host.places.values());
+        host.acknowledgesMessages = true;
+        TreeSet<Integer> small = new TreeSet<>(host.tableByProxy.values());
         small.removeIf(
                 table ->
                         host.tables.get(table).values().stream()
@@ -103,7 +104,7 @@
         host.run(60, () -> reports(host));
         for (int proxy = OWN; proxy < FLEET; proxy++) {
             assertFalse(
-                    small.contains(host.places.get(proxy)),
+                    small.contains(host.tableByProxy.get(proxy)),
                     "proxy " + proxy + " is still on a small table");
         }
         assertTrue(
@@ -113,24 +114,26 @@
 
     @Test
     void aProxyWithLittleTrafficIsNotPassedOverByThoseThatComeLaterWithMore() {
-        FakeHost host = calmGovernor(0);
-        host.choice.channel(3, 6, 5000, 0, 10_000); // slower than in the other stories
+        FakeControllerHost host = calmGovernor(0);
+        host.controller.configureChannel(3, 6, 5000, 0, 10_000); // slower than in the other stories
         drain(host, 1, 30);
-        host.choice.joined(OWN, 0, 0.1, false);
+        host.controller.proxyJoined(OWN, 0, 0.1, false);
         for (int step = 0; step < 60; step++) { // busier ones come and go
             host.now += 50;
-            host.choice.clock(host.now);
+            host.controller.setTime(host.now);
             for (int id = OWN + 1; id < FLEET; id += 4) {
-                host.choice.joined(id, 0, 100, false);
+                host.controller.proxyJoined(id, 0, 100, false);
             }
             host.settle();
         }
-        assertTrue(host.bound.containsKey(OWN), "it is due after 4 s, and 3 have passed");
+        assertTrue(
+                host.boundClassesByProxy.containsKey(OWN),
+                "it is due after 4 s, and 3 have passed");
     }
 
     @Test
     void inARushNoWithdrawalsAreSentInPlaceOfBinds() {
-        FakeHost host = calmGovernor(0);
+        FakeControllerHost host = calmGovernor(0);
         drain(host, 1, 30);
         host.orders.clear();
         inherit(host);
@@ -142,12 +145,12 @@
 
     @Test
     void removalsAreInTimeThoughThereAreMoreOfThemThanMessagesToAProxy() {
-        FakeHost host = calmGovernor(12);
+        FakeControllerHost host = calmGovernor(12);
         int steps = 60;
         for (int step = 0; step < steps; step++) { // one drains each quarter of a second
             host.now += 250;
-            host.choice.clock(host.now);
-            host.choice.bell(1);
+            host.controller.setTime(host.now);
+            host.controller.timerFired(1);
             drain(host, 1 + step, 1 + step);
             reports(host);
             int due = step - (int) ((GRACE - TRANSIT) / 250);
@@ -163,12 +166,12 @@
 
     @Test
     void aSmallTableThatLosesItsEndpointsTakesOthersAndNobodyIsLeftWithNone() {
-        FakeHost host = calmGovernor(0);
+        FakeControllerHost host = calmGovernor(0);
         drain(host, 1, 30);
-        host.drains = false;
+        host.acknowledgesMessages = false;
         inherit(host);
         host.run(2, () -> reports(host));
-        host.drains = true;
+        host.acknowledgesMessages = true;
         for (int step = 0; step < 7; step++) { // another seventy leave within seven seconds
             drain(host, 31 + 10 * step, 40 + 10 * step);
             host.run(1, () -> reports(host));
@@ -184,27 +187,29 @@
     @Test
     void aProxyThatCannotBeBoundYetHoldsUpNobodyElsesOrders() {
         BitSet homeOnly = new BitSet();
-        Product product = new Product(0, true, 1, 800, new BitSet(), homeOnly, true);
-        FakeHost host = new FakeHost(Choice.Admission.SHARE, 0, product);
-        host.choice.roll(true, false, 0.2, 16_000);
-        host.choice.fleet(FLEET, 5, GRACE, TRANSIT);
-        host.choice.listOpens(true, true);
+        RequestClass requestClass = new RequestClass(0, true, 1, 800, new BitSet(), homeOnly, true);
+        FakeControllerHost host =
+                new FakeControllerHost(RoutingController.AdmissionMode.SHARE, 0, requestClass);
+        host.controller.configureEndpointList(true, false, 0.2, 16_000);
+        host.controller.configureFleet(FLEET, 5, GRACE, TRANSIT);
+        host.controller.endpointListStarted(true, true);
         for (long id = 1; id <= 12; id++) { // none is in zone 2
-            host.choice.listed(id, (int) (id % 2), 0, 1, 0, Choice.Stage.READY);
+            host.controller.endpointListed(
+                    id, (int) (id % 2), 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
         }
-        host.choice.listCloses();
-        host.choice.joined(1, 0, 10, true);
+        host.controller.endpointListCompleted();
+        host.controller.proxyJoined(1, 0, 10, true);
         host.settle();
         host.run(3, () -> reports(host));
-        host.change(1, 0, Choice.Stage.DRAINING);
-        host.choice.joined(2, 2, 10, false); // nothing in its zone to bind it to
+        host.changeEndpoint(1, 0, RoutingController.EndpointState.DRAINING);
+        host.controller.proxyJoined(2, 2, 10, false); // nothing in its zone to bind it to
         host.run(2, () -> reports(host));
         host.orders.clear();
         host.run(
                 10,
                 () -> {
                     for (long id = 2; id <= 12; id++) {
-                        host.choice.met(id, id == 2 ? 40 : 10, 0, 100, 0.5);
+                        host.controller.endpointStatsReported(id, id == 2 ? 40 : 10, 0, 100, 0.5);
                     }
                 });
         assertTrue(host.orders.contains("line"), "weights still move for the others");
@@ -212,9 +217,9 @@
 
     @Test
     void oneThatIsFirstHeardOfAsItLeavesIsWithdrawnFromThoseThatJoinLater() {
-        FakeHost host = FakeHost.usual(8);
-        host.change(50, 0, Choice.Stage.DRAINING);
-        host.choice.joined(7, 0, 10, false);
+        FakeControllerHost host = FakeControllerHost.ordinary(8);
+        host.changeEndpoint(50, 0, RoutingController.EndpointState.DRAINING);
+        host.controller.proxyJoined(7, 0, 10, false);
         host.run(2, () -> reports(host));
         assertTrue(host.orders.contains("bar 50"), "its tables may hold it: " + host.orders);
     }
--- a/src/test/java/sprucelanding/SpeedPriorTest.java
+++ b/src/test/java/sprucelanding/control/decision/SpeedPriorTest.java
@@ -1,4 +1,4 @@
-package sprucelanding;
+package sprucelanding.control.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,35 +14,41 @@
     private static final int SLOW = 1;
     private static final double WARM_AFTER = 16_000;
 
-    private static FakeHost twoKinds() {
-        FakeHost host = FakeHost.usual(0);
-        host.choice.listOpens(true, true);
+    private static FakeControllerHost twoKinds() {
+        FakeControllerHost host = FakeControllerHost.ordinary(0);
+        host.controller.endpointListStarted(true, true);
         for (long id = 1; id <= 24; id++) {
-            host.choice.listed(
-                    id, (int) (id % 3), id <= 12 ? FAST : SLOW, 1, 0, Choice.Stage.READY);
+            host.controller.endpointListed(
+                    id,
+                    (int) (id % 3),
+                    id <= 12 ? FAST : SLOW,
+                    1,
+                    0,
+                    RoutingController.EndpointState.AVAILABLE);
         }
-        host.choice.listCloses();
+        host.controller.endpointListCompleted();
         host.settle();
         host.run(20, () -> reports(host));
         return host;
     }
 
-    private static void reports(FakeHost host) {
+    private static void reports(FakeControllerHost host) {
         for (long id = 1; id <= 24; id++) {
-            host.choice.met(id, id <= 12 ? 16 : 4, 0, 100, 0.5);
+            host.controller.endpointStatsReported(id, id <= 12 ? 16 : 4, 0, 100, 0.5);
         }
     }
 
-    private static void starts(FakeHost host, long id, int kind) {
-        host.choice.listOpens(false, false);
-        host.choice.listed(id, 0, kind, 1, host.now, Choice.Stage.READY);
-        host.choice.listCloses();
+    private static void starts(FakeControllerHost host, long id, int kind) {
+        host.controller.endpointListStarted(false, false);
+        host.controller.endpointListed(
+                id, 0, kind, 1, host.now, RoutingController.EndpointState.AVAILABLE);
+        host.controller.endpointListCompleted();
         host.settle();
     }
 
     @Test
     void aColdServerIsHeldAgainstTheSpeedOfItsKindAndNotTheMean() {
-        FakeHost host = twoKinds();
+        FakeControllerHost host = twoKinds();
         assertTrue(
                 host.weight(1) > 2 * host.weight(13), host.weight(1) + " and " + host.weight(13));
         starts(host, 30, SLOW);
@@ -63,10 +69,10 @@
     @Test
     void withoutEvidenceTheListedWeightsStand() {
         SpeedPrior prior = new SpeedPrior();
-        Replica light = new Replica(1);
-        light.entry(0, FAST, 1, 0);
-        Replica heavy = new Replica(2);
-        heavy.entry(0, SLOW, 3, 0);
+        Endpoint light = new Endpoint(1);
+        light.updateListing(0, FAST, 1, 0);
+        Endpoint heavy = new Endpoint(2);
+        heavy.updateListing(0, SLOW, 3, 0);
         prior.learn(java.util.List.of(light, heavy), java.util.List.of());
         assertEquals(0.5, prior.expected(light), 1e-9);
         assertEquals(1.5, prior.expected(heavy), 1e-9);
--- /dev/null
+++ b/src/test/java/sprucelanding/control/distribution/TableDistributorTest.java
@@ -0,0 +1,259 @@
+package sprucelanding.control.distribution;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.BitSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.RoutingController;
+
+class TableDistributorTest {
+    private static final BitSet ALL_CLASSES = BitSet.valueOf(new long[] {3});
+
+    @Test
+    void bindSendsWholeTableWithAdmissionInOneMessage() {
+        DistributorHarness harness = new DistributorHarness(5, 1);
+        ProxyUpdate update = harness.updates.get(1);
+        assertEquals(1, update.tables().size());
+        assertTrue(update.tables().get(0).full);
+        assertEquals(5, update.tables().get(0).weights.size());
+        assertEquals(Set.of(0, 1), update.tables().get(0).admissionByClass.keySet());
+        assertEquals(1 + 5 + 2 + 1, update.lineCost());
+        assertEquals(harness.countedLines.get(1), update.lineCost());
+    }
+
+    @Test
+    void removedEndpointEntersNoTable() {
+        DistributorHarness harness = new DistributorHarness(5, 1);
+        TableDistributor distributor =
+                new TableDistributor(2, endpoint -> false, endpoint -> endpoint.isAvailable());
+        harness.endpoints.values().forEach(endpoint -> distributor.setWeight(0, endpoint, 1));
+        distributor.proxyJoined(1, true);
+        harness.changeState(
+                4, RoutingController.EndpointState.DRAINING); // its line is still to be removed
+        distributor.bindProxy(0, harness.proxies.get(1), ALL_CLASSES);
+        distributor.setWeight(0, harness.endpoints.get(4L), 3);
+        distributor.flush(
+                update -> {
+                    assertEquals(4, update.tables().get(0).weights.size());
+                    assertFalse(
+                            update.tables().get(0).weights.containsKey(harness.endpoints.get(4L)));
+                });
+        assertEquals(1, distributor.rejectedEntries());
+    }
+
+    @Test
+    void changeIsSentOnceToEachProxyBoundToTheTable() {
+        DistributorHarness harness = new DistributorHarness(5, 1, 2);
+        harness.distributor.proxyJoined(3, true);
+        harness.setWeight(0, harness.endpoints.get(4L), 7);
+        harness.setWeight(0, harness.endpoints.get(4L), 8);
+        harness.setWeight(0, harness.endpoints.get(5L), 9);
+        harness.flush();
+        assertEquals(Set.of(1, 2), harness.updates.keySet());
+        assertEquals(
+                List.of(8.0, 9.0),
+                List.copyOf(harness.updates.get(1).tables().get(0).weights.values()));
+        assertFalse(harness.updates.get(1).tables().get(0).full);
+        harness.flush();
+        assertTrue(harness.updates.isEmpty(), "it was sent before");
+    }
+
+    @Test
+    void changeAfterBindInSameBatchIsPartOfWholeTable() {
+        DistributorHarness harness = new DistributorHarness(5, 1);
+        harness.bindProxy(0, harness.proxies.get(1), ALL_CLASSES);
+        harness.setWeight(0, harness.endpoints.get(2L), 0);
+        harness.setAdmission(0, DistributorHarness.SIGN, 0.5, ControllerOutput.RETRY_NEVER);
+        harness.flush();
+        TableUpdate table = harness.updates.get(1).tables().get(0);
+        assertTrue(table.full);
+        assertEquals(4, table.weights.size());
+        assertEquals(
+                new TableUpdate.AdmissionLevel(0.5, ControllerOutput.RETRY_NEVER),
+                table.admissionByClass.get(1));
+    }
+
+    @Test
+    void reboundProxyReceivesNoUpdatesOfItsPreviousTable() {
+        DistributorHarness harness = new DistributorHarness(5, 1, 2);
+        harness.setWeight(0, harness.endpoints.get(3L), 50);
+        harness.setWeight(9, harness.endpoints.get(1L), 4);
+        harness.bindProxy(9, harness.proxies.get(1), ALL_CLASSES);
+        harness.flush();
+        assertEquals(1, harness.updates.get(1).tables().size());
+        assertEquals(Map.of(1L, 4.0), harness.heldWeights.get(1).get(0));
+        assertEquals(50, harness.heldWeights.get(2).get(0).get(3L));
+        harness.distributor.clearTable(0);
+        harness.flush();
+        assertEquals(Set.of(2), harness.updates.keySet());
+    }
+
+    @Test
+    void eachRequestClassMayUseItsOwnTable() {
+        DistributorHarness harness = new DistributorHarness(5, 1);
+        harness.setWeight(9, harness.endpoints.get(2L), 4);
+        harness.distributor.bindProxy(9, harness.proxies.get(1), BitSet.valueOf(new long[] {2}));
+        harness.flush();
+        harness.distributor.setWeight(0, harness.endpoints.get(1L), 33);
+        harness.distributor.setWeight(9, harness.endpoints.get(1L), 44);
+        harness.flush();
+        assertEquals(33, harness.heldWeights.get(1).get(0).get(1L));
+        assertEquals(44, harness.heldWeights.get(1).get(1).get(1L));
+        assertEquals(2, harness.heldWeights.get(1).get(1).size());
+    }
+
+    @Test
+    void ejectionReachesProxiesWithAnEntryAndProxiesWithForeignTables() {
+        DistributorHarness harness = new DistributorHarness(5, 1, 2);
+        harness.distributor.setWeight(0, harness.endpoints.get(2L), 0);
+        harness.distributor.proxyJoined(3, false);
+        harness.flush();
+        harness.distributor.setEjected(harness.endpoints.get(2L), true);
+        harness.flush();
+        assertEquals(Set.of(3), harness.updates.keySet());
+        harness.distributor.setEjected(harness.endpoints.get(4L), true);
+        harness.flush();
+        assertEquals(Set.of(1, 2, 3), harness.updates.keySet());
+        harness.distributor.setEjected(harness.endpoints.get(4L), true);
+        harness.flush();
+        assertTrue(harness.updates.isEmpty(), "all have it on this stream");
+        harness.distributor.setEjected(harness.endpoints.get(4L), false);
+        harness.flush();
+        assertEquals(List.of(harness.endpoints.get(4L)), harness.updates.get(1).restored());
+        assertEquals(Set.of(1, 2, 3), harness.updates.keySet());
+    }
+
+    @Test
+    void bindIncludesCurrentEjections() {
+        DistributorHarness harness = new DistributorHarness(5, 1);
+        harness.distributor.setEjected(harness.endpoints.get(4L), true);
+        harness.flush();
+        harness.distributor.proxyJoined(1, true);
+        harness.distributor.bindProxy(0, harness.proxies.get(1), ALL_CLASSES);
+        harness.flush();
+        assertEquals(List.of(harness.endpoints.get(4L)), harness.updates.get(1).ejected());
+    }
+
+    @Test
+    void proxyFromAnotherGovernorGetsRestoresForPossiblyEjectedEndpoints() {
+        DistributorHarness harness = new DistributorHarness(12, 1);
+        harness.distributor.proxyJoined(1, false);
+        harness.distributor.bindProxy(0, harness.proxies.get(1), ALL_CLASSES);
+        harness.flush();
+        assertEquals(
+                List.of(harness.endpoints.get(10L)),
+                harness.updates.get(1).restored(),
+                "only what was ever away");
+        harness.distributor.proxyJoined(1, true);
+        harness.distributor.bindProxy(0, harness.proxies.get(1), ALL_CLASSES);
+        harness.flush();
+        assertTrue(harness.updates.get(1).restored().isEmpty(), "a bare one shuns nothing");
+    }
+
+    @Test
+    void acknowledgementIsRequestedOnlyWithAnUpdate() {
+        DistributorHarness harness = new DistributorHarness(5, 1, 2);
+        harness.distributor.setEjected(harness.endpoints.get(2L), true);
+        harness.distributor.requestAcknowledgement(5);
+        harness.flush();
+        assertEquals(5, harness.updates.get(2).acknowledgementId());
+        harness.distributor.requestAcknowledgement(6);
+        harness.flush();
+        assertTrue(harness.updates.isEmpty());
+        harness.distributor.setEjected(harness.endpoints.get(2L), false);
+        harness.flush();
+        assertEquals(
+                ProxyUpdate.NO_ACKNOWLEDGEMENT,
+                harness.updates.get(1).acknowledgementId(),
+                "a number serves one moment");
+    }
+
+    @Test
+    void departedProxyIsSentNothing() {
+        DistributorHarness harness = new DistributorHarness(5, 1);
+        harness.distributor.setWeight(0, harness.endpoints.get(2L), 1);
+        harness.distributor.proxyLeft(1);
+        harness.distributor.bindProxy(0, harness.proxies.get(1), ALL_CLASSES);
+        harness.flush();
+        assertTrue(harness.updates.isEmpty());
+    }
+
+    /**
+     * Minutes of change: what proxies come to hold is what was ordered, and no message costs more
+     * than the channel counts.
+     */
+    @Test
+    void proxiesHoldOrderedTablesAtTheCountedChannelCost() {
+        SplittableRandom random = new SplittableRandom(11);
+        DistributorHarness harness = new DistributorHarness(12, 1, 2, 3, 4, 5, 6);
+        long nextEndpointId = 13;
+        int exactCount = 0;
+        for (int second = 0; second < 120; second++) {
+            if (random.nextInt(6) == 0) {
+                harness.changeState(nextEndpointId - 12, RoutingController.EndpointState.DRAINING);
+                harness.changeState(nextEndpointId++, RoutingController.EndpointState.AVAILABLE);
+            }
+            if (random.nextInt(4) == 0) {
+                int proxy = 1 + random.nextInt(6);
+                if (harness.heldWeights.containsKey(proxy)) {
+                    harness.leave(proxy);
+                } else {
+                    harness.join(proxy, random.nextBoolean());
+                }
+            }
+            for (Map.Entry<Long, ?> entry : harness.endpoints.entrySet()) {
+                harness.controller.endpointStatsReported(
+                        entry.getKey(), 10 + random.nextInt(30), 0, 50, random.nextDouble());
+            }
+            harness.advanceOneSecond();
+            for (ProxyUpdate update : harness.updates.values()) {
+                assertTrue(
+                        update.lineCost()
+                                <= harness.countedLines.get(update.proxyId())
+                                        + update.restored().size(),
+                        "second " + second);
+                exactCount +=
+                        update.lineCost() == harness.countedLines.get(update.proxyId()) ? 1 : 0;
+            }
+            harness.tableByProxy.forEach(
+                    (proxy, table) -> {
+                        assertEquals(
+                                harness.tables.get(table), harness.heldWeights.get(proxy).get(0));
+                        assertEquals(
+                                harness.tables.get(table), harness.heldWeights.get(proxy).get(1));
+                        assertEquals(
+                                harness.tableAdmission.get(table),
+                                harness.heldAdmission.get(proxy));
+                    });
+        }
+        assertTrue(exactCount > 100, "nearly all cost just that: " + exactCount);
+    }
+
+    @Test
+    void restoresOfABindAreCountedInTheChannel() {
+        DistributorHarness harness = new DistributorHarness(8);
+        for (long id = 1; id <= 5; id++) {
+            harness.changeState(id, RoutingController.EndpointState.GONE);
+            harness.changeState(id, RoutingController.EndpointState.AVAILABLE);
+        }
+        harness.join(3, false);
+        for (int second = 0; second < 9 && !harness.updates.containsKey(3); second++) {
+            harness.advanceOneSecond();
+        }
+        ProxyUpdate bind = harness.updates.get(3);
+        assertEquals(5, bind.restored().size(), "another governor may have shut these out");
+        assertTrue(
+                harness.controller.queuedLines() >= bind.lineCost() + 6,
+                harness.controller.queuedLines()
+                        + " booked for "
+                        + bind.lineCost()
+                        + " and the head");
+    }
+}
--- a/src/test/java/sprucelanding/fleet/ModelTest.java
+++ b/src/test/java/sprucelanding/control/membership/LeaseModelTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.fleet;
+package sprucelanding.control.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -19,20 +19,20 @@
  * The promises of Leases as a model: within its bounds nothing refutes what is claimed, and each
  * broken variant is refuted.
  */
-class ModelTest {
+class LeaseModelTest {
     @Test
-    void noTwoVoicesNoEpochBackAndEachBrokenVariantIsRefuted() throws Exception {
+    void safetyPropertiesHoldAndEachBrokenVariantIsRefuted() throws Exception {
         ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("kodkod"))
                 .setLevel(ch.qos.logback.classic.Level.ERROR);
         Path model = Files.createTempFile("leases", ".als");
-        try (var in = ModelTest.class.getResourceAsStream("leases.als")) {
-            Files.write(model, in.readAllBytes());
+        try (var input = LeaseModelTest.class.getResourceAsStream("leases.als")) {
+            Files.write(model, input.readAllBytes());
         }
         int commands =
                 CompUtil.parseEverything_fromFile(A4Reporter.NOP, null, model.toString())
                         .getAllCommands()
                         .size();
-        List<String> found =
+        List<String> results =
                 IntStream.range(0, commands)
                         .parallel()
                         .mapToObj(
@@ -40,12 +40,12 @@
                                     Module world =
                                             CompUtil.parseEverything_fromFile(
                                                     A4Reporter.NOP, null, model.toString());
-                                    Command c = world.getAllCommands().get(i);
-                                    return c.label
+                                    Command command = world.getAllCommands().get(i);
+                                    return command.label
                                             + (TranslateAlloyToKodkod.execute_command(
                                                                     A4Reporter.NOP,
                                                                     world.getAllReachableSigs(),
-                                                                    c,
+                                                                    command,
                                                                     new A4Options())
                                                             .satisfiable()
                                                     ? ": an instance"
@@ -63,6 +63,6 @@
                         "withoutOrderOfClocks: an instance",
                         "withoutEpochs: an instance",
                         "withoutMajority: an instance"),
-                found);
+                results);
     }
 }
--- a/src/test/java/sprucelanding/fleet/RecordedPacketsTest.java
+++ b/src/test/java/sprucelanding/control/membership/RecordedPacketsTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.fleet;
+package sprucelanding.control.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -11,7 +11,7 @@
 import java.util.TreeSet;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import sprucelanding.rig.Recording;
+import sprucelanding.testing.Recording;
 
 /**
  * Datagrams between controllers, byte for byte as they were recorded; and recorded bytes still say
@@ -24,7 +24,7 @@
             "another key of more bytes".getBytes(StandardCharsets.US_ASCII);
     private static final long LIFE = 1_700_000_000_123L;
     private static final int STEP = 50;
-    private final Packets packets = new Packets(List.of(FIRST_KEY, SECOND_KEY));
+    private final PeerCodec packets = new PeerCodec(List.of(FIRST_KEY, SECOND_KEY));
 
     private static List<Leases.Claim> claims(int count) {
         return LongStream.range(0, count)
@@ -32,11 +32,11 @@
                 .toList();
     }
 
-    private static List<Recall.Sum> sums(int count) {
+    private static List<EvidenceExchange.EndpointObservation> sums(int count) {
         return LongStream.range(0, count)
                 .mapToObj(
                         i ->
-                                new Recall.Sum(
+                                new EvidenceExchange.EndpointObservation(
                                         i + 4_000_000_000L,
                                         (int) (60_000 - i),
                                         (int) i,
@@ -46,23 +46,32 @@
     }
 
     private static Map<String, Object> messages() {
-        List<Peers.Known> everyState = new ArrayList<>();
-        for (Peers.State state : Peers.State.values()) {
+        List<FailureDetector.MemberState> everyState = new ArrayList<>();
+        for (FailureDetector.State state : FailureDetector.State.values()) {
             int i = state.ordinal();
-            everyState.add(new Peers.Known(i, LIFE + i, i * 3, Long.MAX_VALUE - i, state));
+            everyState.add(
+                    new FailureDetector.MemberState(i, LIFE + i, i * 3, Long.MAX_VALUE - i, state));
         }
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("heartbeat-alone", new Peers.Beat(0, List.of()));
-        all.put("heartbeat-of-every-state", new Peers.Beat(31, everyState));
+        all.put("heartbeat-alone", new FailureDetector.Heartbeat(0, List.of()));
+        all.put("heartbeat-of-every-state", new FailureDetector.Heartbeat(31, everyState));
         all.put(
                 "ask-for-nothing",
-                new Leases.Ask(1, LIFE, 1, 0.125, new Leases.Load(0, 0, -1), List.of()));
+                new Leases.LeaseRequest(
+                        1, LIFE, 1, 0.125, new Leases.GovernorLoad(0, 0, -1), List.of()));
         all.put(
                 "ask-for-three",
-                new Leases.Ask(2, LIFE, 77, 123_456.789, new Leases.Load(750, 1500, 2), claims(3)));
+                new Leases.LeaseRequest(
+                        2,
+                        LIFE,
+                        77,
+                        123_456.789,
+                        new Leases.GovernorLoad(750, 1500, 2),
+                        claims(3)));
         all.put(
                 "ask-for-sixty",
-                new Leases.Ask(2, LIFE, 78, -1, new Leases.Load(1, 2, 3), claims(60)));
+                new Leases.LeaseRequest(
+                        2, LIFE, 78, -1, new Leases.GovernorLoad(1, 2, 3), claims(60)));
         all.put(
                 "grant-of-nothing",
                 new Leases.Grant(0, LIFE, 1, 1, LIFE + 9, 5, List.of(), List.of()));
@@ -71,29 +80,29 @@
                 new Leases.Grant(3, LIFE, 4, 5, LIFE + 9, 1e9 + 0.5, claims(4), claims(2)));
         all.put("release-of-nothing", new Leases.Release(7, LIFE, List.of()));
         all.put("release-of-five", new Leases.Release(7, LIFE, claims(5)));
-        all.put("sums-of-none", new Recall.Said(4, LIFE, 1, 1000, List.of()));
-        all.put("sums-of-three", new Recall.Said(4, LIFE, 2, 999.5, sums(3)));
-        all.put("sums-of-fifty", new Recall.Said(4, LIFE, 3, 1000, sums(50)));
+        all.put("sums-of-none", new EvidenceExchange.Evidence(4, LIFE, 1, 1000, List.of()));
+        all.put("sums-of-three", new EvidenceExchange.Evidence(4, LIFE, 2, 999.5, sums(3)));
+        all.put("sums-of-fifty", new EvidenceExchange.Evidence(4, LIFE, 3, 1000, sums(50)));
         return all;
     }
 
     @Test
     void everyKindOfMessage() throws Exception {
         Recording recording = new Recording("peer-datagrams");
-        messages().forEach((title, message) -> recording.add(title, packets.put(message)));
+        messages().forEach((title, message) -> recording.add(title, packets.encode(message)));
         recording.check();
-        Packets reversed = new Packets(List.of(SECOND_KEY, FIRST_KEY));
+        PeerCodec reversed = new PeerCodec(List.of(SECOND_KEY, FIRST_KEY));
         for (Map.Entry<String, Object> each : messages().entrySet()) {
             byte[] recorded = recording.recorded(each.getKey()).get(0);
-            assertEquals(each.getValue(), packets.take(recorded), each.getKey());
-            assertEquals(each.getValue(), reversed.take(recorded), each.getKey());
+            assertEquals(each.getValue(), packets.decode(recorded), each.getKey());
+            assertEquals(each.getValue(), reversed.decode(recorded), each.getKey());
         }
     }
 
     @Test
     void bytesThatAreRefused() {
         Recording recording = new Recording("peer-datagrams-refused");
-        byte[] good = packets.put(messages().get("grant-and-refusal"));
+        byte[] good = packets.encode(messages().get("grant-and-refusal"));
         List<Integer> lengthsTaken = new ArrayList<>();
         for (int length = 0; length <= good.length + 1; length++) {
             if (isTaken(Arrays.copyOf(good, length))) {
@@ -114,26 +123,27 @@
         byte[] stranger = "fedcba9876543210".getBytes(StandardCharsets.US_ASCII);
         recording.add("too long, taken: " + isTaken(new byte[1401]));
         recording.add(
-                "another key, taken: " + isTaken(new Packets(List.of(stranger)).put(message)));
+                "another key, taken: " + isTaken(new PeerCodec(List.of(stranger)).encode(message)));
         recording.add(
-                "the second key, taken: " + isTaken(new Packets(List.of(SECOND_KEY)).put(message)));
+                "the second key, taken: "
+                        + isTaken(new PeerCodec(List.of(SECOND_KEY)).encode(message)));
         recording.check();
     }
 
     private boolean isTaken(byte[] packet) {
         try {
-            packets.take(packet);
+            packets.decode(packet);
             return true;
-        } catch (Packets.Refused e) {
+        } catch (PeerCodec.MalformedPacketException e) {
             return false;
         }
     }
 
     /** A controller on a clock of the story, whose messages are recorded as datagrams. */
-    private final class Controller implements Sharing.Acts {
+    private final class Controller implements FleetMember.Actions {
         final int id;
         final List<byte[]> inbox = new ArrayList<>();
-        final Sharing sharing;
+        final FleetMember sharing;
         private final Recording recording;
         private final List<Controller> all;
         private double now;
@@ -148,20 +158,20 @@
             }
             Leases leases = new Leases(id, LIFE + id, count, 1000, 0.01, 1010, 0);
             sharing =
-                    new Sharing(
-                            new Peers(id, LIFE + id, ids, 100, 500, 500),
+                    new FleetMember(
+                            new FailureDetector(id, LIFE + id, ids, 100, 500, 500),
                             leases,
-                            new Share(id, leases, 10, 0, 0),
-                            new Recall(id, LIFE + id, 1000, 300, true, 0));
+                            new ProxyQuota(id, leases, 10, 0, 0),
+                            new EvidenceExchange(id, LIFE + id, 1000, 300, true, 0));
         }
 
-        void works(double time) throws Packets.Refused {
+        void works(double time) throws PeerCodec.MalformedPacketException {
             now = time;
-            sharing.clock(now);
+            sharing.advanceTo(now);
             List<byte[]> came = List.copyOf(inbox);
             inbox.clear();
             for (byte[] each : came) {
-                sharing.heard(packets.take(each));
+                sharing.onPeerMessage(packets.decode(each));
             }
             while (sharing.decide(this)) {
                 continue;
@@ -173,8 +183,8 @@
         }
 
         @Override
-        public void tell(int to, Object message) {
-            byte[] packet = packets.put(message);
+        public void sendToPeers(int to, Object message) {
+            byte[] packet = packets.encode(message);
             recording.add("@" + Math.round(now) + " " + id + " to " + to + ":", packet);
             all.stream()
                     .filter(other -> other != this && (to < 0 || to == other.id))
@@ -182,35 +192,35 @@
         }
 
         @Override
-        public void may(long proxy, long epoch) {
+        public void allowWrites(long proxy, long epoch) {
             says("may write to " + proxy + " under epoch " + epoch);
         }
 
         @Override
-        public void waits(long proxy) {
+        public void suspendWrites(long proxy) {
             says("may not write to " + proxy);
         }
 
         @Override
-        public void end(long proxy, boolean busy, String why) {
+        public void endStream(long proxy, boolean busy, String why) {
             says("ends the stream of " + proxy + (busy ? ", busy" : ""));
-            sharing.left(proxy);
+            sharing.onProxyDisconnected(proxy);
         }
 
         @Override
-        public void hint(Recall.Sum sum) {
+        public void applyObservation(EvidenceExchange.EndpointObservation sum) {
             says(
                     String.format(
                             "is told of replica %d: %d tries, %d voided, %s ms, load %s",
-                            sum.replica(),
-                            sum.tries(),
-                            sum.voided(),
-                            sum.answerTime(),
+                            sum.endpoint(),
+                            sum.attempts(),
+                            sum.failedAttempts(),
+                            sum.responseMillis(),
                             sum.load()));
         }
 
         @Override
-        public void note(String text, Object... figures) {}
+        public void logEvent(String text, Object... figures) {}
     }
 
     @Test
@@ -223,20 +233,20 @@
         for (int time = 0; time <= 9000; time += STEP) {
             if (time == 1500) {
                 for (int proxy = 1; proxy <= 6; proxy++) {
-                    all.get(proxy % 3).sharing.dialled(proxy, 0);
+                    all.get(proxy % 3).sharing.onProxyConnected(proxy, 0);
                 }
             }
             if (time == 2500) {
-                all.get(0).sharing.left(3);
-                all.get(1).sharing.dialled(3, 0);
+                all.get(0).sharing.onProxyDisconnected(3);
+                all.get(1).sharing.onProxyConnected(3, 0);
             }
             if (time % 700 == 0) {
-                all.get(0).sharing.met(41, 100, 3, 12.25, 0.5);
-                all.get(2).sharing.met(42, 10, 9, 250, -1);
-                all.get(2).sharing.met(43, 500, 0, 8.5, 0.25);
+                all.get(0).sharing.recordOwnObservation(41, 100, 3, 12.25, 0.5);
+                all.get(2).sharing.recordOwnObservation(42, 10, 9, 250, -1);
+                all.get(2).sharing.recordOwnObservation(43, 500, 0, 8.5, 0.25);
             }
             if (time == 7000) {
-                all.get(1).sharing.leaves();
+                all.get(1).sharing.startDrain();
             }
             for (Controller each : all) {
                 boolean dead = each.id == 2 && time > 4000;
