--- /dev/null
+++ b/src/test/java/sprucelanding/front/netconf/NetconfFrontTest.java
@@ -0,0 +1,313 @@
+package sprucelanding.front.netconf;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.grpc.netty.shaded.io.netty.channel.nio.NioEventLoopGroup;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.PosixFilePermissions;
+import java.security.KeyPair;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import org.apache.sshd.common.config.keys.writer.openssh.OpenSSHKeyPairResourceWriter;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import sprucelanding.control.discovery.ListedEndpoint;
+import sprucelanding.simulation.loopback.SimulatedDevice;
+import sprucelanding.simulation.loopback.SimulatedProxy;
+import sprucelanding.testing.ScenarioRig;
+
+/** Stories of devices over SSH on loopback. */
+@Timeout(90)
+class NetconfFrontTest {
+    @TempDir private Path folder;
+    private final KeyPair governorKey = SimulatedDevice.generateKey();
+    private final NioEventLoopGroup transport = new NioEventLoopGroup(1);
+    private final List<SimulatedDevice> devices = new ArrayList<>();
+    private final List<SimulatedProxy> proxies = new ArrayList<>();
+    private ScenarioRig rig;
+
+    @BeforeEach
+    void startRig() throws Exception {
+        Path key = folder.resolve("key");
+        Files.createFile(
+                key,
+                PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")));
+        writeGovernorKey(governorKey);
+        Files.writeString(folder.resolve("devices"), "");
+        rig = new ScenarioRig(4, 64, new DeviceKeys(key, folder.resolve("devices")));
+    }
+
+    private void writeGovernorKey(KeyPair pair) throws Exception {
+        try (OutputStream out = Files.newOutputStream(folder.resolve("key"))) {
+            OpenSSHKeyPairResourceWriter.INSTANCE.writePrivateKey(pair, "x", null, out);
+        }
+    }
+
+    @AfterEach
+    void stopAll() throws Exception {
+        proxies.forEach(proxy -> rig.loop.tryExecute(proxy::crash));
+        for (SimulatedDevice simulatedDevice : devices) {
+            simulatedDevice.stop();
+        }
+        rig.close();
+        transport.shutdownGracefully();
+    }
+
+    private SimulatedDevice startDevice(int number, KeyPair acceptedKey, boolean pinned)
+            throws IOException {
+        SimulatedDevice simulatedDevice =
+                new SimulatedDevice(
+                        "device-" + number,
+                        "north",
+                        1,
+                        acceptedKey.getPublic(),
+                        SimulatedDevice.generateKey());
+        devices.add(simulatedDevice);
+        if (pinned) {
+            StringBuilder pinnedKeys = new StringBuilder("# who may dial in\n");
+            devices.forEach(each -> pinnedKeys.append(each.knownHostLine()).append('\n'));
+            Files.writeString(folder.resolve("devices"), pinnedKeys);
+            Files.setLastModifiedTime(
+                    folder.resolve("devices"),
+                    java.nio.file.attribute.FileTime.fromMillis(1_000_000 + number));
+        }
+        SimulatedProxy proxy =
+                new SimulatedProxy(
+                        rig.loop,
+                        transport,
+                        number,
+                        0,
+                        "north",
+                        1,
+                        List.of("read"),
+                        List.of(new SimulatedProxy.GovernorAddress(0, rig.netconf.port())),
+                        new SimulatedProxy.ProxyOptions("two", 5, 1000, 250, 100, 300, true),
+                        null,
+                        rig.trace,
+                        number);
+        proxy.attachDevice(simulatedDevice);
+        proxies.add(proxy);
+        rig.loop.tryExecute(() -> proxy.start(List.of()));
+        return simulatedDevice;
+    }
+
+    private static void await(String description, BooleanSupplier done)
+            throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + 30_000_000_000L;
+        while (!done.getAsBoolean()) {
+            assertTrue(System.nanoTime() < deadlineNanos, "not within 30 s: " + description);
+            Thread.sleep(20);
+        }
+    }
+
+    private boolean isConfigured(SimulatedDevice simulatedDevice) {
+        return simulatedDevice.hasRoutes()
+                && rig.endpoints.stream()
+                        .allMatch(endpoint -> simulatedDevice.entryText(0, endpoint.id) != null);
+    }
+
+    private void removeEndpoint(int endpointIndex) {
+        rig.loop.tryExecute(
+                () ->
+                        rig.discovery.scheduleUpdate(
+                                List.of(rig.endpoints.get(endpointIndex)),
+                                ListedEndpoint.State.GONE,
+                                0));
+    }
+
+    @Test
+    void deviceIsConfiguredAndRemovalReachesIt() throws Exception {
+        SimulatedDevice simulatedDevice = startDevice(1, governorKey, true);
+        await("laid", () -> isConfigured(simulatedDevice));
+        removeEndpoint(0);
+        await("removed", () -> simulatedDevice.entryText(0, rig.endpoints.get(0).id) == null);
+    }
+
+    @Test
+    void missingReplyIsResolvedByReadingBackAndTheEditIsNotLost() throws Exception {
+        SimulatedDevice simulatedDevice = startDevice(1, governorKey, true);
+        await("laid", () -> isConfigured(simulatedDevice));
+        rig.loop.tryExecute(() -> simulatedDevice.dropResponses(3));
+        removeEndpoint(1);
+        await("removed", () -> simulatedDevice.entryText(0, rig.endpoints.get(1).id) == null);
+        removeEndpoint(2);
+        await(
+                "and the next one",
+                () -> simulatedDevice.entryText(0, rig.endpoints.get(2).id) == null);
+    }
+
+    @Test
+    void foreignLockIsWaitedForAndForeignEntriesAreRemoved() throws Exception {
+        SimulatedDevice simulatedDevice = startDevice(1, governorKey, true);
+        await("laid", () -> isConfigured(simulatedDevice));
+        rig.loop.tryExecute(() -> simulatedDevice.lockFor(1500));
+        rig.loop.tryExecute(simulatedDevice::driftConfiguration);
+        await("foreign line", () -> simulatedDevice.entryText(0, 4_000_000_000L) != null);
+        removeEndpoint(3);
+        await("removed", () -> simulatedDevice.entryText(0, rig.endpoints.get(3).id) == null);
+        await("foreign line gone", () -> simulatedDevice.entryText(0, 4_000_000_000L) == null);
+    }
+
+    @Test
+    void unknownHostKeyIsRejectedUntilItIsPinnedAtRunTime() throws Exception {
+        SimulatedDevice unknown = startDevice(1, governorKey, false);
+        SimulatedDevice known = startDevice(2, governorKey, false);
+        Thread.sleep(1500);
+        assertFalse(unknown.hasRoutes());
+        Files.writeString(folder.resolve("devices"), known.knownHostLine() + "\n");
+        await("the pinned one is laid", () -> isConfigured(known));
+        assertFalse(unknown.hasRoutes());
+    }
+
+    @Test
+    void governorKeyIsReplacedAtRunTime() throws Exception {
+        SimulatedDevice first = startDevice(1, governorKey, true);
+        await("laid", () -> isConfigured(first));
+        KeyPair next = SimulatedDevice.generateKey();
+        writeGovernorKey(next);
+        Files.setLastModifiedTime(
+                folder.resolve("key"), java.nio.file.attribute.FileTime.fromMillis(2_000_000));
+        SimulatedDevice second = startDevice(2, next, true);
+        await("laid with the new key", () -> isConfigured(second));
+        removeEndpoint(0);
+        await(
+                "the older session goes on",
+                () -> first.entryText(0, rig.endpoints.get(0).id) == null);
+    }
+
+    @Test
+    void malformedAndOversizedMessagesEndOnlyThatSessionAndTheDeviceReconnects() throws Exception {
+        SimulatedDevice bad = startDevice(1, governorKey, true);
+        SimulatedDevice good = startDevice(2, governorKey, true);
+        await("laid", () -> isConfigured(bad) && isConfigured(good));
+        rig.loop.tryExecute(
+                () -> bad.sendGarbled("\n#7\n<a><b>x\n##\n".getBytes(StandardCharsets.US_ASCII)));
+        removeEndpoint(0);
+        await("the other one is served", () -> good.entryText(0, rig.endpoints.get(0).id) == null);
+        await(
+                "it came back and is served",
+                () -> bad.entryText(0, rig.endpoints.get(0).id) == null);
+        rig.loop.tryExecute(
+                () ->
+                        bad.sendGarbled(
+                                ("\n#60000\n" + "x".repeat(60_000))
+                                        .repeat(4)
+                                        .getBytes(StandardCharsets.US_ASCII)));
+        removeEndpoint(1);
+        await(
+                "again",
+                () ->
+                        bad.entryText(0, rig.endpoints.get(1).id) == null
+                                && good.entryText(0, rig.endpoints.get(1).id) == null);
+    }
+
+    @Test
+    void removalReachesDeviceWhileFortyOthersAreConfigured() throws Exception {
+        SimulatedDevice simulatedDevice = startDevice(100, governorKey, true);
+        await("laid", () -> isConfigured(simulatedDevice));
+        for (int i = 0; i < 40; i++) {
+            startDevice(i, governorKey, true);
+        }
+        removeEndpoint(0);
+        double startMillis = System.nanoTime() / 1e6;
+        await("removed", () -> simulatedDevice.entryText(0, rig.endpoints.get(0).id) == null);
+        assertTrue(System.nanoTime() / 1e6 - startMillis < 10_000, "within the grace of this rig");
+        await(
+                "all laid",
+                () ->
+                        devices.stream()
+                                .allMatch(
+                                        each ->
+                                                each.hasRoutes()
+                                                        && each.entryText(
+                                                                        0, rig.endpoints.get(1).id)
+                                                                != null));
+        assertEquals(
+                0,
+                devices.stream()
+                        .filter(
+                                each ->
+                                        each.entryText(0, rig.endpoints.get(0).id) != null
+                                                && each.entryText(0, rig.endpoints.get(0).id)
+                                                        .startsWith("w"))
+                        .count());
+    }
+
+    @Test
+    void entryRejectedByDeviceDoesNotDelayOtherEntries() throws Exception {
+        SimulatedDevice simulatedDevice = startDevice(1, governorKey, false);
+        simulatedDevice.forbidEndpoint(rig.endpoints.get(1).id);
+        Files.writeString(folder.resolve("devices"), simulatedDevice.knownHostLine() + "\n");
+        await(
+                "the others are laid",
+                () ->
+                        simulatedDevice.hasRoutes()
+                                && List.of(0, 2, 3).stream()
+                                        .allMatch(
+                                                i ->
+                                                        simulatedDevice.entryText(
+                                                                        0, rig.endpoints.get(i).id)
+                                                                != null));
+        assertEquals(null, simulatedDevice.entryText(0, rig.endpoints.get(1).id));
+        removeEndpoint(2);
+        await(
+                "a removal beside it",
+                () -> simulatedDevice.entryText(0, rig.endpoints.get(2).id) == null);
+    }
+
+    @Test
+    void commitIsConfirmedByNextSessionWhenSessionIsLostBeforeConfirming() throws Exception {
+        SimulatedDevice simulatedDevice = startDevice(1, governorKey, false);
+        simulatedDevice.breakBeforeConfirm(20_000);
+        Files.writeString(folder.resolve("devices"), simulatedDevice.knownHostLine() + "\n");
+        await("laid by a later session", () -> isConfigured(simulatedDevice));
+        removeEndpoint(0);
+        await("and edited", () -> simulatedDevice.entryText(0, rig.endpoints.get(0).id) == null);
+        assertFalse(simulatedDevice.rolledBack());
+    }
+
+    @Test
+    void configRolledBackWithoutSessionIsWrittenAgain() throws Exception {
+        SimulatedDevice simulatedDevice = startDevice(1, governorKey, false);
+        simulatedDevice.breakBeforeConfirm(1);
+        Files.writeString(folder.resolve("devices"), simulatedDevice.knownHostLine() + "\n");
+        await(
+                "taken back, and laid by a later session",
+                () -> simulatedDevice.rolledBack() && isConfigured(simulatedDevice));
+    }
+
+    @Test
+    void configIsReadAgainAfterAnotherGovernorsConfirmedCommitTimesOut() throws Exception {
+        SimulatedDevice simulatedDevice = startDevice(1, governorKey, true);
+        await("laid", () -> isConfigured(simulatedDevice));
+        rig.loop.tryExecute(
+                () -> {
+                    proxies.get(0).reconnect(); // its next session reads what is on trial still
+                    simulatedDevice.rollBackAfter(rig.loop, 1500);
+                });
+        await("taken back", simulatedDevice::rolledBack);
+        await("laid anew, though no order changed", () -> isConfigured(simulatedDevice));
+    }
+
+    @Test
+    void keyFileReadableByOthersIsRejected() throws Exception {
+        Path open = folder.resolve("open");
+        Files.copy(folder.resolve("key"), open);
+        Files.setPosixFilePermissions(open, PosixFilePermissions.fromString("rw-r--r--"));
+        IOException e =
+                org.junit.jupiter.api.Assertions.assertThrows(
+                        IOException.class,
+                        () -> new DeviceKeys(open, folder.resolve("devices")).ownKey());
+        assertTrue(e.getMessage().contains("mode 600"), e.getMessage());
+    }
+}
--- a/src/test/java/sprucelanding/netconf/RecordedOperationsTest.java
+++ b/src/test/java/sprucelanding/front/netconf/RecordedOperationsTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.netconf;
+package sprucelanding.front.netconf;
 
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sprucelanding.delivery.Delivery;
-import sprucelanding.delivery.Message;
-import sprucelanding.edits.Edits;
-import sprucelanding.rig.Recording;
-import sprucelanding.rig.ScriptedCore;
+import sprucelanding.control.delivery.Delivery;
+import sprucelanding.control.delivery.ResourceUpdate;
+import sprucelanding.control.edits.DeviceEditSession;
+import sprucelanding.testing.Recording;
+import sprucelanding.testing.ScriptedCore;
 
 /**
  * NETCONF sessions, byte for byte as they were recorded: what a device is sent, framing included,
@@ -47,7 +47,7 @@
     private static final long LOOK_AGAIN_MS = 20;
     private static final int NUMBER = 1;
 
-    private final ArrayDeque<Message> messages = new ArrayDeque<>();
+    private final ArrayDeque<ResourceUpdate> messages = new ArrayDeque<>();
     private final List<String> sent = new ArrayList<>();
     private final ArrayDeque<String> replies = new ArrayDeque<>();
     private Recording recording;
@@ -59,7 +59,7 @@
     private String routing = "";
 
     /** A session's way out. */
-    private final class Session implements Device.Line {
+    private final class Session implements Device.Transport {
         @Override
         public void write(byte[] bytes) {
             String text = new String(bytes, StandardCharsets.UTF_8);
@@ -76,7 +76,7 @@
     private void opens(String name, long epoch) {
         recording = new Recording(name);
         core = new ScriptedCore(true, epoch, messages::add);
-        core.number("device-1");
+        core.proxyId("device-1");
         front =
                 new NetconfFront(
                         core,
@@ -86,8 +86,14 @@
                         null,
                         "user",
                         LARGEST,
-                        new NetconfFront.Patience(ANSWERS, CONFIRMS, LOCKS, AT_ONCE));
-        device = new Device(front, core, "device-1", NUMBER, new Edits(ANSWERS, CONFIRMS, LOCKS));
+                        new NetconfFront.EditLimits(ANSWERS, CONFIRMS, LOCKS, AT_ONCE));
+        device =
+                new Device(
+                        front,
+                        core,
+                        "device-1",
+                        NUMBER,
+                        new DeviceEditSession(ANSWERS, CONFIRMS, LOCKS));
     }
 
     @AfterEach
@@ -101,7 +107,7 @@
         chunked = false;
         sent.clear();
         recording.add("a session");
-        device.opened(session);
+        device.onSessionOpened(session);
         sent.clear();
         StringBuilder hello = new StringBuilder("<hello xmlns=\"" + BASE + "\"><capabilities>");
         boolean chunks = false;
@@ -121,12 +127,12 @@
         recording.add("device: " + xml);
         byte[] body = xml.getBytes(StandardCharsets.UTF_8);
         String framed = chunked ? "\n#" + body.length + "\n" + xml + "\n##\n" : xml + "]]>]]>";
-        device.received(session, framed.getBytes(StandardCharsets.UTF_8));
+        device.onBytes(session, framed.getBytes(StandardCharsets.UTF_8));
     }
 
     private void broken() {
         recording.add("the session breaks");
-        device.lost(session);
+        device.onSessionLost(session);
         sent.clear();
     }
 
@@ -134,7 +140,7 @@
     private void works() {
         while (!sent.isEmpty() || !messages.isEmpty()) {
             if (sent.isEmpty()) {
-                boolean taken = device.wants(messages.poll());
+                boolean taken = device.submitEdit(messages.poll());
                 recording.add("an edit" + (taken ? "" : " of a session that is over"));
                 continue;
             }
@@ -169,7 +175,7 @@
 
     private void orders(String title, Consumer<Delivery> orders) {
         recording.add("orders: " + title);
-        core.orders(orders);
+        core.applyOrders(orders);
         works();
     }
 
@@ -177,13 +183,13 @@
         orders(
                 "tables 0 and 1",
                 d -> {
-                    d.line(0, 1, 100);
-                    d.line(0, 2, 250.4);
-                    d.line(0, 3, 0.2);
-                    d.line(1, 2, 1e9);
-                    d.line(1, 4, 7);
-                    d.level(0, 0, 12.34567, 2);
-                    d.level(1, 1, 1e6, 1);
+                    d.setEntry(0, 1, 100);
+                    d.setEntry(0, 2, 250.4);
+                    d.setEntry(0, 3, 0.2);
+                    d.setEntry(1, 2, 1e9);
+                    d.setEntry(1, 4, 7);
+                    d.setAdmissionLevel(0, 0, 12.34567, 2);
+                    d.setAdmissionLevel(1, 1, 1e6, 1);
                     d.bind(NUMBER, 0, List.of(0, 2));
                     d.bind(NUMBER, 1, List.of(1));
                 });
@@ -233,19 +239,19 @@
     }
 
     private void changes() {
-        orders("weights", d -> d.line(0, 1, 80));
-        orders("a removal", d -> d.line(0, 2, 0));
-        orders("out everywhere", d -> d.withdraw(3, true));
-        orders("back", d -> d.withdraw(3, false));
-        orders("levels", d -> d.level(0, 0, 0, 0));
+        orders("weights", d -> d.setEntry(0, 1, 80));
+        orders("a removal", d -> d.setEntry(0, 2, 0));
+        orders("out everywhere", d -> d.setEjected(3, true));
+        orders("back", d -> d.setEjected(3, false));
+        orders("levels", d -> d.setAdmissionLevel(0, 0, 0, 0));
         orders(
                 "table 2 in place of 1",
                 d -> {
-                    d.line(2, 5, 11);
-                    d.line(2, 6, 12);
+                    d.setEntry(2, 5, 11);
+                    d.setEntry(2, 6, 12);
                     d.bind(NUMBER, 2, List.of(1));
                 });
-        orders("table 1 is cleared", d -> d.clear(1));
+        orders("table 1 is cleared", d -> d.clearTable(1));
     }
 
     @Test
@@ -262,11 +268,11 @@
         firstOrders();
         changes();
         replies.add("validate " + INVALID);
-        orders("a line that is refused", d -> d.line(0, 1, 81));
+        orders("a line that is refused", d -> d.setEntry(0, 1, 81));
         replies.add("edit-config " + INVALID);
-        orders("another that is refused", d -> d.line(0, 1, 82));
+        orders("another that is refused", d -> d.setEntry(0, 1, 82));
         replies.add("commit " + INVALID);
-        orders("a commit that is refused", d -> d.line(0, 1, 83));
+        orders("a commit that is refused", d -> d.setEntry(0, 1, 83));
         routing = routing(table(0, line(1, 99, false), line(9, 5, true)), table(7));
         says(
                 "<notification xmlns=\"urn:ietf:params:xml:ns:netconf:notification:1.0\">"
@@ -283,7 +289,7 @@
         firstOrders();
         changes();
         replies.add("edit-config " + INVALID);
-        orders("a line that is refused", d -> d.line(0, 1, 81));
+        orders("a line that is refused", d -> d.setEntry(0, 1, 81));
         recording.check();
     }
 
--- a/src/test/java/sprucelanding/xds/RecordedDiscoveryTest.java
+++ b/src/test/java/sprucelanding/front/xds/RecordedDiscoveryTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.xds;
+package sprucelanding.front.xds;
 
 import com.google.protobuf.Message;
 import com.google.protobuf.TextFormat;
@@ -40,9 +40,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sprucelanding.delivery.Delivery;
-import sprucelanding.rig.Recording;
-import sprucelanding.rig.ScriptedCore;
+import sprucelanding.control.delivery.Delivery;
+import sprucelanding.testing.Recording;
+import sprucelanding.testing.ScriptedCore;
 
 /**
  * Discovery over real sockets, both forms: each response in hexadecimal digits and in protobuf's
@@ -104,17 +104,17 @@
         orders(
                 "tables 0 and 1",
                 d -> {
-                    d.line(0, 1, 100);
-                    d.line(0, 2, 250.4);
-                    d.line(0, 3, 0.2);
-                    d.line(1, 2, 1e9);
-                    d.line(1, 4, 7);
-                    d.level(0, 0, 0.25, 2);
-                    d.level(1, 1, 1e6, 1);
-                    d.level(1, 2, 123.567, 0);
+                    d.setEntry(0, 1, 100);
+                    d.setEntry(0, 2, 250.4);
+                    d.setEntry(0, 3, 0.2);
+                    d.setEntry(1, 2, 1e9);
+                    d.setEntry(1, 4, 7);
+                    d.setAdmissionLevel(0, 0, 0.25, 2);
+                    d.setAdmissionLevel(1, 1, 1e6, 1);
+                    d.setAdmissionLevel(1, 2, 123.567, 0);
                 });
         for (String proxy : proxies) {
-            int number = core.number(proxy);
+            int number = core.proxyId(proxy);
             orders(
                     "binds " + proxy,
                     d -> {
@@ -126,7 +126,7 @@
 
     private void orders(String title, Consumer<Delivery> orders) {
         recording.add("orders: " + title);
-        core.orders(orders);
+        core.applyOrders(orders);
     }
 
     /** A client of one stream: what it says and hears is recorded. */
@@ -140,7 +140,7 @@
 
         Client(String name) {
             this.name = name;
-            this.before = name.isEmpty() ? 0 : core.sent(name);
+            this.before = name.isEmpty() ? 0 : core.sentCount(name);
         }
 
         abstract void answers(R response, String error);
@@ -167,7 +167,7 @@
 
         /** Accepts all that comes, until nothing more is under way. */
         void settles() throws Exception {
-            while (seen < core.sent(name) - before) {
+            while (seen < core.sentCount(name) - before) {
                 answered(hears(), null);
             }
             recording.add(name + " is settled");
@@ -329,47 +329,47 @@
         barrier(client);
         firstOrders("proxy-1");
         client.settles();
-        orders("weights", d -> d.line(0, 1, 80));
+        orders("weights", d -> d.setEntry(0, 1, 80));
         client.settles();
-        orders("a removal", d -> d.line(0, 2, 0));
+        orders("a removal", d -> d.setEntry(0, 2, 0));
         client.settles();
-        orders("out everywhere", d -> d.withdraw(2, true));
+        orders("out everywhere", d -> d.setEjected(2, true));
         client.settles();
-        orders("back", d -> d.withdraw(2, false));
+        orders("back", d -> d.setEjected(2, false));
         client.settles();
         orders(
                 "levels",
                 d -> {
-                    d.level(0, 0, 0.000001, 0);
-                    d.level(1, 1, 1, 2);
-                    d.level(1, 2, 1_000_000, 1);
+                    d.setAdmissionLevel(0, 0, 0.000001, 0);
+                    d.setAdmissionLevel(1, 1, 1, 2);
+                    d.setAdmissionLevel(1, 2, 1_000_000, 1);
                 });
         client.settles();
-        orders("levels that are whole", d -> d.level(0, 0, 1e6, 0));
+        orders("levels that are whole", d -> d.setAdmissionLevel(0, 0, 1e6, 0));
         client.settles();
         orders(
                 "table 2 in place of 1",
                 d -> {
-                    d.line(2, 5, 11);
-                    d.line(2, 6, 12);
-                    d.bind(core.number("proxy-1"), 2, List.of(1, 2));
+                    d.setEntry(2, 5, 11);
+                    d.setEntry(2, 6, 12);
+                    d.bind(core.proxyId("proxy-1"), 2, List.of(1, 2));
                 });
         client.settles();
-        orders("table 1 is cleared", d -> d.clear(1));
+        orders("table 1 is cleared", d -> d.clearTable(1));
         client.settles();
 
-        orders("a line that is refused", d -> d.line(2, 7, 13));
+        orders("a line that is refused", d -> d.setEntry(2, 7, 13));
         client.answered(client.hears(), "not this one");
         client.settles();
-        orders("its next version", d -> d.line(2, 7, 14));
+        orders("its next version", d -> d.setEntry(2, 7, 14));
         client.settles();
         orders(
                 "four lines that are refused at once",
                 d -> {
-                    d.line(2, 5, 21);
-                    d.line(2, 6, 0);
-                    d.line(2, 8, 22);
-                    d.line(2, 9, 23);
+                    d.setEntry(2, 5, 21);
+                    d.setEntry(2, 6, 0);
+                    d.setEntry(2, 8, 22);
+                    d.setEntry(2, 9, 23);
                 });
         client.answered(client.hears(), "too much");
         client.settles();
@@ -378,7 +378,7 @@
                 "unsubscribes from the lines of table 2",
                 client.about(LINES).addResourceNamesUnsubscribe(COLLECTION + "t2/*").build());
         barrier(client);
-        orders("a line nobody asked for", d -> d.line(2, 5, 31));
+        orders("a line nobody asked for", d -> d.setEntry(2, 5, 31));
         client.settles();
         client.asks(LINES, Map.of(), COLLECTION + "t2/*");
         barrier(client);
@@ -389,8 +389,8 @@
         orders(
                 "meanwhile",
                 d -> {
-                    d.line(0, 1, 81);
-                    d.line(0, 3, 0);
+                    d.setEntry(0, 1, 81);
+                    d.setEntry(0, 3, 0);
                 });
         DeltaClient again = new DeltaClient("proxy-1");
         again.asksForAll(client.held);
@@ -398,8 +398,8 @@
         orders(
                 "binds again",
                 d -> {
-                    d.bind(core.number("proxy-1"), 0, List.of(0));
-                    d.bind(core.number("proxy-1"), 2, List.of(1, 2));
+                    d.bind(core.proxyId("proxy-1"), 0, List.of(0));
+                    d.bind(core.proxyId("proxy-1"), 2, List.of(1, 2));
                 });
         again.settles();
         recording.check();
@@ -427,7 +427,7 @@
         opens("discovery-whole-states", false, 7);
         StateClient client = new StateClient("proxy-2");
         client.asks(CLUSTERS);
-        core.awaitDialled("proxy-2");
+        core.awaitSubscribed("proxy-2");
         firstOrders("proxy-2");
         DiscoveryResponse clusters = client.hears();
         client.asks(ROUTES, "txns");
@@ -442,22 +442,22 @@
         client.answers(clusters, null);
         core.awaitAnswer("proxy-2", clusters.getNonce());
         client.settles();
-        orders("weights", d -> d.line(0, 1, 80));
+        orders("weights", d -> d.setEntry(0, 1, 80));
         client.settles();
-        orders("a removal", d -> d.line(0, 2, 0));
+        orders("a removal", d -> d.setEntry(0, 2, 0));
         client.settles();
-        orders("out everywhere", d -> d.withdraw(1, true));
+        orders("out everywhere", d -> d.setEjected(1, true));
         client.settles();
-        orders("back", d -> d.withdraw(1, false));
+        orders("back", d -> d.setEjected(1, false));
         client.settles();
-        orders("a weight that is refused", d -> d.line(1, 4, 8));
+        orders("a weight that is refused", d -> d.setEntry(1, 4, 8));
         client.answered(client.hears(), "no");
         client.settles();
-        orders("the next one", d -> d.line(1, 4, 9));
+        orders("the next one", d -> d.setEntry(1, 4, 9));
         client.settles();
-        orders("levels", d -> d.level(0, 0, 0.5, 1));
+        orders("levels", d -> d.setAdmissionLevel(0, 0, 0.5, 1));
         client.settles();
-        orders("all on table 0", d -> d.bind(core.number("proxy-2"), 0, List.of(0, 1, 2)));
+        orders("all on table 0", d -> d.bind(core.proxyId("proxy-2"), 0, List.of(0, 1, 2)));
         client.settles();
         recording.check();
     }
@@ -543,22 +543,22 @@
                                         .addUpstreamLocalityStats(locality))
                         .build());
         var report = core.awaitReport();
-        recording.add("proxy " + report.proxy() + " over " + report.span() + " ms");
-        recording.add("came by product: " + report.came());
-        report.met()
+        recording.add("proxy " + report.proxyId() + " over " + report.spanMillis() + " ms");
+        recording.add("came by product: " + report.requestsByClass());
+        report.endpointStats()
                 .forEach(
                         m ->
                                 recording.add(
                                         String.format(
                                                 "replica %d: issued %d, settled %d, voided %d,"
                                                         + " answers %s ms, loads %s told %d",
-                                                m.replica(),
+                                                m.endpointId(),
                                                 m.issued(),
-                                                m.settled(),
-                                                m.voided(),
-                                                m.answerTime(),
-                                                m.loads(),
-                                                m.told())));
+                                                m.completed(),
+                                                m.failed(),
+                                                m.totalResponseMillis(),
+                                                m.loadSum(),
+                                                m.loadSamples())));
         recording.check();
     }
 
--- /dev/null
+++ b/src/test/java/sprucelanding/front/xds/XdsFrontTest.java
@@ -0,0 +1,368 @@
+package sprucelanding.front.xds;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.envoyproxy.envoy.config.core.v3.HealthStatus;
+import io.envoyproxy.envoy.config.endpoint.v3.ClusterStats;
+import io.envoyproxy.envoy.config.endpoint.v3.LbEndpoint;
+import io.envoyproxy.envoy.service.discovery.v3.AggregatedDiscoveryServiceGrpc;
+import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryRequest;
+import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryResponse;
+import io.envoyproxy.envoy.service.discovery.v3.DiscoveryRequest;
+import io.envoyproxy.envoy.service.discovery.v3.DiscoveryResponse;
+import io.envoyproxy.envoy.service.discovery.v3.Resource;
+import io.envoyproxy.envoy.service.load_stats.v3.LoadReportingServiceGrpc;
+import io.envoyproxy.envoy.service.load_stats.v3.LoadStatsRequest;
+import io.envoyproxy.envoy.service.load_stats.v3.LoadStatsResponse;
+import io.grpc.Status;
+import io.grpc.stub.StreamObserver;
+import java.io.OutputStream;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import sprucelanding.control.discovery.ListedEndpoint;
+import sprucelanding.testing.ScenarioRig;
+
+/** Stories of peers, good and bad, over real sockets. */
+@Timeout(60)
+class XdsFrontTest {
+    private ScenarioRig rig;
+
+    @BeforeEach
+    void startRig() throws Exception {
+        rig = new ScenarioRig(4, 64, null);
+    }
+
+    @AfterEach
+    void stopRig() {
+        rig.close();
+    }
+
+    private DeltaDiscoveryResponse awaitRemoval(ScenarioRig.XdsTestClient peer, int endpointIndex)
+            throws Exception {
+        rig.loop.tryExecute(
+                () ->
+                        rig.discovery.scheduleUpdate(
+                                List.of(rig.endpoints.get(endpointIndex)),
+                                ListedEndpoint.State.GONE,
+                                0));
+        while (true) { // what health or speed changes meanwhile is accepted on the way
+            DeltaDiscoveryResponse response = peer.responses.poll(10, TimeUnit.SECONDS);
+            assertNotNull(response, "no removal came");
+            if (response.getRemovedResourcesList()
+                    .contains(
+                            ResourceEncoder.ENDPOINT_NAME_PREFIX
+                                    + "t0/"
+                                    + rig.endpoints.get(endpointIndex).id)) {
+                return response;
+            }
+            peer.acknowledge(response);
+        }
+    }
+
+    @Test
+    void endpointsPrecedeRoutesAndRemovedEndpointIsNamed() throws Exception {
+        try (ScenarioRig.XdsTestClient peer = rig.new XdsTestClient("p")) {
+            peer.subscribeToAll();
+            peer.acknowledge(peer.awaitResponse(ResourceEncoder.CDS_TYPE_URL));
+            peer.acknowledge(peer.awaitResponse(ResourceEncoder.EDS_TYPE_URL));
+            DeltaDiscoveryResponse endpointsResponse =
+                    peer.awaitResponse(ResourceEncoder.LEDS_TYPE_URL);
+            assertEquals(4, endpointsResponse.getResourcesCount());
+            LbEndpoint first =
+                    endpointsResponse.getResources(0).getResource().unpack(LbEndpoint.class);
+            assertEquals(HealthStatus.HEALTHY, first.getHealthStatus());
+            assertTrue(first.getLoadBalancingWeight().getValue() >= 1);
+            peer.acknowledge(endpointsResponse);
+            peer.acknowledge(peer.awaitResponse(ResourceEncoder.RDS_TYPE_URL));
+            peer.acknowledge(awaitRemoval(peer, 0));
+        }
+    }
+
+    @Test
+    void resumedStreamReceivesOnlyDifferences() throws Exception {
+        List<Resource> heldResources = new ArrayList<>();
+        try (ScenarioRig.XdsTestClient peer = rig.new XdsTestClient("p")) {
+            peer.subscribeToAll();
+            for (String type :
+                    List.of(
+                            ResourceEncoder.CDS_TYPE_URL,
+                            ResourceEncoder.EDS_TYPE_URL,
+                            ResourceEncoder.LEDS_TYPE_URL,
+                            ResourceEncoder.RDS_TYPE_URL)) {
+                DeltaDiscoveryResponse response = peer.awaitResponse(type);
+                heldResources.addAll(response.getResourcesList());
+                peer.acknowledge(response);
+            }
+        }
+        try (ScenarioRig.XdsTestClient resumed = rig.new XdsTestClient("p")) {
+            for (String type :
+                    List.of(
+                            ResourceEncoder.CDS_TYPE_URL,
+                            ResourceEncoder.RDS_TYPE_URL,
+                            ResourceEncoder.EDS_TYPE_URL,
+                            ResourceEncoder.LEDS_TYPE_URL)) {
+                DeltaDiscoveryRequest.Builder request =
+                        resumed.request(type)
+                                .addResourceNamesSubscribe(
+                                        switch (type) {
+                                            case ResourceEncoder.CDS_TYPE_URL -> "*";
+                                            case ResourceEncoder.RDS_TYPE_URL ->
+                                                    ResourceEncoder.ROUTE_CONFIG_NAME;
+                                            case ResourceEncoder.EDS_TYPE_URL -> "t0";
+                                            default -> ResourceEncoder.endpointCollection(0);
+                                        });
+                heldResources.stream()
+                        .filter(response -> response.getResource().getTypeUrl().equals(type))
+                        .forEach(
+                                response ->
+                                        request.putInitialResourceVersions(
+                                                response.getName(), response.getVersion()));
+                resumed.requests.onNext(request.build());
+            }
+            DeltaDiscoveryResponse next = awaitRemoval(resumed, 1);
+            assertEquals(1, next.getRemovedResourcesCount());
+            assertEquals(
+                    ResourceEncoder.LEDS_TYPE_URL,
+                    next.getTypeUrl(),
+                    "nothing that it held came again");
+        }
+    }
+
+    @Test
+    void rejectedRemovalIsNotResentAndOtherProxiesAreServed() throws Exception {
+        try (ScenarioRig.XdsTestClient bad = rig.new XdsTestClient("bad");
+                ScenarioRig.XdsTestClient good = rig.new XdsTestClient("good")) {
+            bad.acceptAll();
+            good.acceptAll();
+            DeltaDiscoveryResponse rejected = awaitRemoval(bad, 2);
+            bad.reject(rejected);
+            good.acknowledge(awaitRemoval(good, 2));
+            DeltaDiscoveryResponse next;
+            while ((next = bad.responses.poll(1500, TimeUnit.MILLISECONDS)) != null) {
+                assertEquals(
+                        0,
+                        next.getRemovedResourcesList().stream()
+                                .filter(rejected.getRemovedResourcesList()::contains)
+                                .count(),
+                        "sent again");
+                bad.acknowledge(next);
+            }
+            assertNull(bad.ended.poll());
+        }
+    }
+
+    @Test
+    void silentProxyDelaysNobody() throws Exception {
+        try (ScenarioRig.XdsTestClient silent = rig.new XdsTestClient("silent");
+                ScenarioRig.XdsTestClient good = rig.new XdsTestClient("good")) {
+            silent.subscribeToAll(); // and never another word
+            good.acceptAll();
+            good.acknowledge(awaitRemoval(good, 3));
+        }
+    }
+
+    @Test
+    void unknownTypesTooManyNamesAndMissingNodeIdsAreRejectedWithReason() throws Exception {
+        try (ScenarioRig.XdsTestClient unknownType = rig.new XdsTestClient("a");
+                ScenarioRig.XdsTestClient tooManyNames = rig.new XdsTestClient("b");
+                ScenarioRig.XdsTestClient nameless = rig.new XdsTestClient("")) {
+            unknownType.requests.onNext(
+                    unknownType.request("type.googleapis.com/nobody.knows.This").build());
+            Status status = unknownType.ended.poll(10, TimeUnit.SECONDS);
+            assertEquals(Status.Code.INVALID_ARGUMENT, status.getCode());
+            assertTrue(
+                    status.getDescription().contains("nobody.knows.This"), status.getDescription());
+            DeltaDiscoveryRequest.Builder many = tooManyNames.request(ResourceEncoder.EDS_TYPE_URL);
+            for (int i = 0; i < 2_500; i++) {
+                many.addResourceNamesSubscribe("t" + i);
+            }
+            tooManyNames.requests.onNext(many.build());
+            assertEquals(
+                    Status.Code.RESOURCE_EXHAUSTED,
+                    tooManyNames.ended.poll(10, TimeUnit.SECONDS).getCode());
+            nameless.requests.onNext(nameless.request(ResourceEncoder.CDS_TYPE_URL).build());
+            assertEquals(
+                    Status.Code.INVALID_ARGUMENT,
+                    nameless.ended.poll(10, TimeUnit.SECONDS).getCode());
+        }
+        try (ScenarioRig.XdsTestClient good = rig.new XdsTestClient("good")) {
+            good.acceptAll();
+        }
+    }
+
+    @Test
+    void oversizedMessagesAndGarbageEndOnlyThatConnection() throws Exception {
+        try (ScenarioRig.XdsTestClient good = rig.new XdsTestClient("good");
+                ScenarioRig.XdsTestClient big = rig.new XdsTestClient("big")) {
+            good.acceptAll();
+            DeltaDiscoveryRequest.Builder request = big.request(ResourceEncoder.LEDS_TYPE_URL);
+            for (int i = 0; i < 10_000; i++) {
+                request.addResourceNamesSubscribe(ResourceEncoder.endpointCollection(i));
+            }
+            big.requests.onNext(request.build()); // more than the 64 KiB it takes
+            assertEquals(
+                    Status.Code.RESOURCE_EXHAUSTED, big.ended.poll(10, TimeUnit.SECONDS).getCode());
+            byte[] garbage = new byte[20_000];
+            new java.util.Random(5).nextBytes(garbage);
+            for (int i = 0; i < 20; i++) {
+                try (Socket socket = new Socket("127.0.0.1", rig.xds.port())) {
+                    OutputStream out = socket.getOutputStream();
+                    out.write(garbage, 0, 1 + i * 1000);
+                } catch (java.io.IOException e) {
+                    // closed on us: as it should be
+                }
+            }
+            good.acknowledge(awaitRemoval(good, 0));
+        }
+    }
+
+    @Test
+    void stateOfTheWorldStreamIgnoresStaleNoncesAndCarriesWholeTable() throws Exception {
+        BlockingQueue<DiscoveryResponse> responses = new LinkedBlockingQueue<>();
+        try (ScenarioRig.XdsTestClient carrier = rig.new XdsTestClient("carrier")) {
+            StreamObserver<DiscoveryRequest> out =
+                    AggregatedDiscoveryServiceGrpc.newStub(carrier.channel)
+                            .streamAggregatedResources(
+                                    new StreamObserver<>() {
+                                        @Override
+                                        public void onNext(DiscoveryResponse response) {
+                                            responses.add(response);
+                                        }
+
+                                        @Override
+                                        public void onError(Throwable error) {}
+
+                                        @Override
+                                        public void onCompleted() {}
+                                    });
+            DiscoveryRequest.Builder request =
+                    DiscoveryRequest.newBuilder().setNode(carrier.node.toBuilder().setId("whole"));
+            out.onNext(request.clone().setTypeUrl(ResourceEncoder.CDS_TYPE_URL).build());
+            out.onNext(
+                    request.clone()
+                            .setTypeUrl(ResourceEncoder.RDS_TYPE_URL)
+                            .addResourceNames(ResourceEncoder.ROUTE_CONFIG_NAME)
+                            .build());
+            DiscoveryResponse cds = responses.poll(10, TimeUnit.SECONDS);
+            assertEquals(ResourceEncoder.CDS_TYPE_URL, cds.getTypeUrl());
+            out.onNext(
+                    request.clone()
+                            .setTypeUrl(ResourceEncoder.CDS_TYPE_URL)
+                            .setVersionInfo("77")
+                            .setResponseNonce("77")
+                            .build());
+            out.onNext(
+                    request.clone()
+                            .setTypeUrl(ResourceEncoder.EDS_TYPE_URL)
+                            .addResourceNames("t0")
+                            .build());
+            assertNull(
+                    responses.poll(700, TimeUnit.MILLISECONDS),
+                    "a stale nonce acknowledges nothing");
+            out.onNext(
+                    request.clone()
+                            .setTypeUrl(ResourceEncoder.CDS_TYPE_URL)
+                            .setVersionInfo(cds.getVersionInfo())
+                            .setResponseNonce(cds.getNonce())
+                            .build());
+            DiscoveryResponse eds = responses.poll(10, TimeUnit.SECONDS);
+            assertEquals(ResourceEncoder.EDS_TYPE_URL, eds.getTypeUrl());
+            assertEquals(
+                    4,
+                    eds.getResources(0)
+                            .unpack(
+                                    io.envoyproxy.envoy.config.endpoint.v3.ClusterLoadAssignment
+                                            .class)
+                            .getEndpoints(0)
+                            .getLbEndpointsCount());
+            out.onNext(
+                    request.clone()
+                            .setTypeUrl(ResourceEncoder.EDS_TYPE_URL)
+                            .setVersionInfo(eds.getVersionInfo())
+                            .setResponseNonce(eds.getNonce())
+                            .addResourceNames("t0")
+                            .build());
+            assertEquals(
+                    ResourceEncoder.RDS_TYPE_URL,
+                    responses.poll(10, TimeUnit.SECONDS).getTypeUrl());
+        }
+    }
+
+    @Test
+    void loadReportsAreRequestedAndAbsurdOnesAreHarmless() throws Exception {
+        BlockingQueue<LoadStatsResponse> responses = new LinkedBlockingQueue<>();
+        try (ScenarioRig.XdsTestClient peer = rig.new XdsTestClient("p")) {
+            peer.acceptAll();
+            StreamObserver<LoadStatsRequest> out =
+                    LoadReportingServiceGrpc.newStub(peer.channel)
+                            .streamLoadStats(
+                                    new StreamObserver<>() {
+                                        @Override
+                                        public void onNext(LoadStatsResponse response) {
+                                            responses.add(response);
+                                        }
+
+                                        @Override
+                                        public void onError(Throwable error) {}
+
+                                        @Override
+                                        public void onCompleted() {}
+                                    });
+            out.onNext(LoadStatsRequest.newBuilder().setNode(peer.node).build());
+            LoadStatsResponse response = responses.poll(10, TimeUnit.SECONDS);
+            assertTrue(response.getReportEndpointGranularity());
+            assertEquals(500_000_000, response.getLoadReportingInterval().getNanos());
+            for (int i = 0; i < 50; i++) {
+                out.onNext(
+                        LoadStatsRequest.newBuilder()
+                                .setNode(peer.node)
+                                .addClusterStats(
+                                        ClusterStats.newBuilder()
+                                                .setClusterName("x")
+                                                .setTotalDroppedRequests(Long.MAX_VALUE))
+                                .build());
+            }
+            peer.acknowledge(awaitRemoval(peer, 1));
+        }
+    }
+
+    @Test
+    void twoHundredAndNineProxiesConnectAtOnceAndAllAreConfigured() throws Exception {
+        rig.close();
+        rig = new ScenarioRig(4, 32, null);
+        List<ScenarioRig.XdsTestClient> peers = new ArrayList<>();
+        try {
+            for (int i = 0; i < 209; i++) {
+                peers.add(rig.new XdsTestClient("p" + i));
+            }
+            peers.forEach(ScenarioRig.XdsTestClient::subscribeToAll);
+            List<ScenarioRig.XdsTestClient> waiting = new ArrayList<>(peers);
+            long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
+            while (!waiting.isEmpty() && System.nanoTime() < deadlineNanos) {
+                waiting.removeIf(
+                        peer -> {
+                            DeltaDiscoveryResponse response = peer.responses.poll();
+                            if (response != null) {
+                                peer.acknowledge(response);
+                            }
+                            return response != null
+                                    && response.getTypeUrl().equals(ResourceEncoder.RDS_TYPE_URL);
+                        });
+            }
+            assertEquals(0, waiting.size());
+        } finally {
+            peers.forEach(ScenarioRig.XdsTestClient::close);
+        }
+    }
+}
--- a/src/test/java/sprucelanding/markup/MarkupTest.java
+++ b/src/test/java/sprucelanding/front/xml/XmlTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.markup;
+package sprucelanding.front.xml;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -17,67 +17,71 @@
 import net.jqwik.api.constraints.StringLength;
 
 /** Framing and XML from peers that mean well, and from those that do not. */
-class MarkupTest {
-    private static final int MOST = 100_000;
+class XmlTest {
+    private static final int MAX_MESSAGE_BYTES = 100_000;
 
-    private static List<String> read(boolean chunked, byte[] bytes, int piece) throws IOException {
-        List<String> all = new ArrayList<>();
-        Framing framing = new Framing(MOST, m -> all.add(new String(m, StandardCharsets.UTF_8)));
+    private static List<String> decode(boolean chunked, byte[] bytes, int pieceLength)
+            throws IOException {
+        List<String> messages = new ArrayList<>();
+        NetconfFraming framing =
+                new NetconfFraming(
+                        MAX_MESSAGE_BYTES,
+                        message -> messages.add(new String(message, StandardCharsets.UTF_8)));
         if (chunked) {
-            framing.chunked();
+            framing.useChunkedFraming();
         }
-        for (int at = 0; at < bytes.length; at += piece) {
-            framing.received(bytes, at, Math.min(piece, bytes.length - at));
+        for (int offset = 0; offset < bytes.length; offset += pieceLength) {
+            framing.onBytes(bytes, offset, Math.min(pieceLength, bytes.length - offset));
         }
-        return all;
+        return messages;
     }
 
     @Property(tries = 300, seed = "11")
-    void whatIsFramedIsReadWhateverThePieces(
+    void framedMessagesAreDecodedHoweverTheBytesAreSplit(
             @ForAll @Size(min = 1, max = 4) List<@AlphaChars @StringLength(min = 1) String> texts,
             @ForAll boolean chunked,
             @ForAll @IntRange(min = 1, max = 50) int piece)
             throws IOException {
-        Framing out = new Framing(MOST, m -> {});
+        NetconfFraming framing = new NetconfFraming(MAX_MESSAGE_BYTES, message -> {});
         if (chunked) {
-            out.chunked();
+            framing.useChunkedFraming();
         }
         java.io.ByteArrayOutputStream wire = new java.io.ByteArrayOutputStream();
-        texts.forEach(t -> wire.writeBytes(out.framed("<a>]]>]" + t + "]]</a>")));
+        texts.forEach(text -> wire.writeBytes(framing.frame("<a>]]>]" + text + "]]</a>")));
         assertEquals(
-                texts.stream().map(t -> "<a>]]>]" + t + "]]</a>").toList(),
-                read(chunked, wire.toByteArray(), piece));
+                texts.stream().map(text -> "<a>]]>]" + text + "]]</a>").toList(),
+                decode(chunked, wire.toByteArray(), piece));
     }
 
     @Property(tries = 1000, seed = "12")
-    void garbageIsRefusedOrReadNeverAnythingElse(@ForAll byte[] bytes, @ForAll boolean chunked) {
+    void garbageIsDecodedOrRejectedWithIOException(@ForAll byte[] bytes, @ForAll boolean chunked) {
         try {
-            for (String each : read(chunked, bytes, 7)) {
-                Elem.read(each.getBytes(StandardCharsets.UTF_8));
+            for (String message : decode(chunked, bytes, 7)) {
+                XmlElement.parse(message.getBytes(StandardCharsets.UTF_8));
             }
-            Elem.read(bytes);
+            XmlElement.parse(bytes);
         } catch (IOException e) {
             // refused
         }
     }
 
     @Property(tries = 500, seed = "13")
-    void aDocumentWithAByteChangedIsRefusedOrRead(
-            @ForAll @IntRange(min = 0, max = 90) int at, @ForAll byte b) {
+    void documentWithOneByteChangedIsParsedOrRejectedWithIOException(
+            @ForAll @IntRange(min = 0, max = 90) int at, @ForAll byte replacement) {
         byte[] bytes =
                 "<rpc-reply message-id=\"1\" xmlns=\"urn:x\"><data><table><number>0</number></table></data></rpc-reply>"
                         .getBytes(StandardCharsets.UTF_8);
-        bytes[at] = b;
+        bytes[at] = replacement;
         try {
-            Elem.read(bytes);
+            XmlElement.parse(bytes);
         } catch (IOException e) {
             // refused
         }
     }
 
     @Example
-    void chunksThatAreNoneAreRefused() {
-        for (String bad :
+    void malformedChunksAreRejected() {
+        for (String malformed :
                 List.of(
                         "x",
                         "\nx",
@@ -92,24 +96,24 @@
                         "\n#1#")) {
             assertThrows(
                     IOException.class,
-                    () -> read(true, bad.getBytes(StandardCharsets.US_ASCII), 3),
-                    bad);
+                    () -> decode(true, malformed.getBytes(StandardCharsets.US_ASCII), 3),
+                    malformed);
         }
     }
 
     @Example
-    void aMessageWithoutEndIsRefusedAtTheBound() {
-        assertThrows(IOException.class, () -> read(false, new byte[MOST + 1], 1000));
+    void messageBeyondTheSizeLimitIsRejected() {
+        assertThrows(IOException.class, () -> decode(false, new byte[MAX_MESSAGE_BYTES + 1], 1000));
         byte[] chunk = ("\n#1000\n" + "x".repeat(1000)).getBytes(StandardCharsets.US_ASCII);
         java.io.ByteArrayOutputStream many = new java.io.ByteArrayOutputStream();
-        for (int i = 0; i <= MOST / 1000; i++) {
+        for (int i = 0; i <= MAX_MESSAGE_BYTES / 1000; i++) {
             many.writeBytes(chunk);
         }
-        assertThrows(IOException.class, () -> read(true, many.toByteArray(), 4096));
+        assertThrows(IOException.class, () -> decode(true, many.toByteArray(), 4096));
     }
 
     @Example
-    void bombsDeepNestingAndOutsideEntitiesAreRefused() {
+    void entityExpansionDeepNestingAndExternalEntitiesAreRejected() {
         String bomb =
                 "<!DOCTYPE a [<!ENTITY b \""
                         + "x".repeat(1000)
@@ -121,25 +125,27 @@
         String file = "<!DOCTYPE a [<!ENTITY f SYSTEM \"file:///etc/passwd\">]><a>&f;</a>";
         String deep = "<a>".repeat(40) + "</a>".repeat(40);
         String wide = "<a>" + "<b/>".repeat(100_001) + "</a>";
-        for (String bad :
+        for (String malformed :
                 List.of(bomb, file, deep, wide, "", "<a>", "<a></b>", "text", "<a/><b/>")) {
-            assertThrows(IOException.class, () -> Elem.read(bad.getBytes(StandardCharsets.UTF_8)));
+            assertThrows(
+                    IOException.class,
+                    () -> XmlElement.parse(malformed.getBytes(StandardCharsets.UTF_8)));
         }
     }
 
     @Example
-    void whatIsEscapedComesBack() throws IOException {
+    void escapedTextIsParsedBackUnchanged() throws IOException {
         String text = "a<b>&\"c\" ]]> d";
-        Elem e =
-                Elem.read(
+        XmlElement element =
+                XmlElement.parse(
                         ("<x y=\""
-                                        + Elem.escaped(text)
+                                        + XmlElement.escape(text)
                                         + "\"><z>"
-                                        + Elem.escaped(text)
+                                        + XmlElement.escape(text)
                                         + "</z></x>")
                                 .getBytes(StandardCharsets.UTF_8));
-        assertEquals(text, e.attributes.get("y"));
-        assertEquals(text, e.text("z"));
-        assertTrue(e.text("none").isEmpty());
+        assertEquals(text, element.attributes.get("y"));
+        assertEquals(text, element.text("z"));
+        assertTrue(element.text("none").isEmpty());
     }
 }
--- a/src/test/java/sprucelanding/recorded/Recorded.java
+++ b/src/test/java/sprucelanding/recorded/Recorded.java
@@ -22,7 +22,7 @@
  */
 public final class Recorded {
     private static final Path FOLDER = Path.of("src", "test", "resources", "recorded", "stored");
-    private static final boolean WRITES = Boolean.getBoolean("recorded.write");
+    private static final boolean RECORDING_ENABLED = Boolean.getBoolean("recorded.write");
 
     private Recorded() {}
 
@@ -65,12 +65,12 @@
     }
 
     /** Whether this run records instead of comparing. */
-    public static boolean writes() {
-        return WRITES;
+    public static boolean isRecording() {
+        return RECORDING_ENABLED;
     }
 
     private static void write(String name, byte[] content) throws IOException {
-        if (WRITES) {
+        if (RECORDING_ENABLED) {
             Files.createDirectories(file(name).getParent());
             Files.write(file(name), content);
         }
--- a/src/test/java/sprucelanding/capture/RecordedCaptureTest.java
+++ b/src/test/java/sprucelanding/replay/capture/RecordedCaptureTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.capture;
+package sprucelanding.replay.capture;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -73,23 +73,24 @@
     void everyKindOfEventIsWrittenAsRecorded() throws IOException {
         Path file = folder.resolve("kinds.cap");
         List<String> faults = new ArrayList<>();
-        try (Log log = new Log(file, STATION, QUEUED_BLOCKS, LARGEST_FILE, faults::add)) {
+        try (CaptureWriter log =
+                new CaptureWriter(file, STATION, QUEUED_BLOCKS, LARGEST_FILE, faults::add)) {
             for (int kind = 0; kind < FIELDS.length; kind++) {
-                log.put(100.0 * kind, What.values()[kind], FIELDS[kind]);
+                log.append(100.0 * kind, EventType.values()[kind], FIELDS[kind]);
             }
         }
         assertEquals(List.of(), faults);
-        assertEquals(FIELDS.length, What.values().length);
+        assertEquals(FIELDS.length, EventType.values().length);
         Recorded.assertBytes("capture/kinds.cap", Files.readAllBytes(file));
     }
 
     @Test
     void theRecordedEventsAreReadInFull() throws IOException {
-        Kept kept = Kept.read(Recorded.file("capture/kinds.cap"));
-        assertEquals(STATION, kept.station());
-        assertNull(kept.ends());
-        List<Event> events = new ArrayList<>();
-        kept.each(events::add);
+        Capture kept = Capture.read(Recorded.file("capture/kinds.cap"));
+        assertEquals(STATION, kept.configText());
+        assertNull(kept.truncation());
+        List<CaptureEvent> events = new ArrayList<>();
+        kept.forEachEvent(events::add);
         assertEquals(List.of(), kept.gaps());
         assertEquals(FIELDS.length, events.size());
         for (int kind = 0; kind < FIELDS.length; kind++) {
@@ -101,7 +102,7 @@
     @Test
     void aCaptureWithDroppedEventsIsWrittenAndReadAsRecorded() throws Exception {
         Recorded.assertBytes("capture/dropped.cap", withDroppedEvents());
-        Kept kept = Kept.read(Recorded.file("capture/dropped.cap"));
+        Capture kept = Capture.read(Recorded.file("capture/dropped.cap"));
         Recorded.assertText("capture/dropped.txt", rendered(kept));
         assertEquals(1, kept.gaps().size());
     }
@@ -134,7 +135,7 @@
                     }
                 };
         List<String> said = new ArrayList<>();
-        try (Log log = new Log(slow, STATION, 2, LARGEST_FILE, said::add)) {
+        try (CaptureWriter log = new CaptureWriter(slow, STATION, 2, LARGEST_FILE, said::add)) {
             for (int block = 0; block < 4; block++) {
                 putBlock(log, block);
             }
@@ -147,16 +148,16 @@
     }
 
     /** Two events, the second so late that the block is closed. */
-    private static void putBlock(Log log, int block) {
+    private static void putBlock(CaptureWriter log, int block) {
         double at = 10_000.0 * (block + 1);
-        log.put(at, What.values()[0], at);
-        log.put(at + LONGEST_BLOCK, What.values()[0], at + LONGEST_BLOCK);
+        log.append(at, EventType.values()[0], at);
+        log.append(at + LONGEST_BLOCK, EventType.values()[0], at + LONGEST_BLOCK);
     }
 
     /** Station, then each event: time, fields to the last bit, and the line that is shown of it. */
-    private static String rendered(Kept kept) throws IOException {
-        StringBuilder text = new StringBuilder(kept.station());
-        kept.each(
+    private static String rendered(Capture kept) throws IOException {
+        StringBuilder text = new StringBuilder(kept.configText());
+        kept.forEachEvent(
                 e -> {
                     if (e == null) {
                         text.append("dropped\n");
@@ -170,7 +171,7 @@
                                                     .append(' ')
                                                     .append(f)
                                                     .append("; "));
-                    text.append("]\n").append(e.line(0)).append('\n');
+                    text.append("]\n").append(e.format(0)).append('\n');
                 });
         kept.gaps()
                 .forEach(
--- a/src/test/java/sprucelanding/loop/HttpTest.java
+++ b/src/test/java/sprucelanding/runtime/eventloop/HttpParserTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.loop;
+package sprucelanding.runtime.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,46 +10,50 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class HttpTest {
+class HttpParserTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private final List<String> came = new ArrayList<>();
+    private final List<String> received = new ArrayList<>();
 
     private static String text(byte[] bytes) {
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
     /** Byte by byte, as a slow peer's come. */
-    private static void feed(Http http, String bytes) throws IOException {
-        for (byte b : bytes.getBytes(StandardCharsets.ISO_8859_1)) {
-            http.received(ByteBuffer.wrap(new byte[] {b}));
+    private static void feed(HttpParser parser, String bytes) throws IOException {
+        for (byte next : bytes.getBytes(StandardCharsets.ISO_8859_1)) {
+            parser.parse(ByteBuffer.wrap(new byte[] {next}));
         }
     }
 
     @Test
-    void aBodyInChunksIsOneBody() throws IOException {
-        Http http = new Http(m -> came.add(m.status() + " " + text(m.body())));
+    void chunkedBodyIsDeliveredWhole() throws IOException {
+        HttpParser parser =
+                new HttpParser(
+                        message -> received.add(message.status() + " " + text(message.body())));
         feed(
-                http,
+                parser,
                 HEAD
                         + "4;x=y\r\nfour\r\nB\r\nten\r\nbytes!\r\n0\r\nTrailer: t\r\n\r\n"
                         + HEAD
                         + "1\r\nx\r\n0\r\n\r\n");
-        assertEquals(List.of("200 fourten\r\nbytes!", "200 x"), came);
+        assertEquals(List.of("200 fourten\r\nbytes!", "200 x"), received);
     }
 
     @Test
-    void ofAWatchThePiecesComeAsTheyAreSaid() throws IOException {
-        Http http = new Http(m -> came.add("head")).streaming(piece -> came.add(text(piece)));
-        http.received(
+    void streamedBodyIsDeliveredChunkByChunk() throws IOException {
+        HttpParser parser =
+                new HttpParser(message -> received.add("head"))
+                        .streamBodiesTo(part -> received.add(text(part)));
+        parser.parse(
                 ByteBuffer.wrap(
                         (HEAD + "3\r\nab\n\r\n1\r\n\n\r\n2\r\ncd")
                                 .getBytes(StandardCharsets.ISO_8859_1)));
-        assertEquals(List.of("head", "ab\n", "\n", "cd"), came);
+        assertEquals(List.of("head", "ab\n", "\n", "cd"), received);
     }
 
     @Test
-    void chunksThatCannotBeAreRefused() {
-        for (String spoilt :
+    void malformedChunksAreRejected() {
+        for (String malformed :
                 List.of(
                         "x\r\n",
                         "-4\r\n",
@@ -57,13 +61,16 @@
                         "1".repeat(300),
                         "\r\n",
                         "1\r\nxx\r\n")) {
-            assertThrows(IOException.class, () -> feed(new Http(m -> {}), HEAD + spoilt), spoilt);
+            assertThrows(
+                    IOException.class,
+                    () -> feed(new HttpParser(message -> {}), HEAD + malformed),
+                    malformed);
         }
         assertThrows(
                 IOException.class,
                 () ->
                         feed(
-                                new Http(m -> {}),
+                                new HttpParser(message -> {}),
                                 HEAD + ("1000\r\n" + "x".repeat(4096) + "\r\n").repeat(257)));
     }
 }
--- a/src/test/java/sprucelanding/loop/RecordedHttpTest.java
+++ b/src/test/java/sprucelanding/runtime/eventloop/RecordedHttpTest.java
@@ -1,10 +1,10 @@
-package sprucelanding.loop;
+package sprucelanding.runtime.eventloop;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import sprucelanding.rig.Recording;
+import sprucelanding.testing.Recording;
 
 /**
  * HTTP messages and the text form of load reports, byte for byte as they were recorded. Run with
@@ -21,30 +21,31 @@
     @Test
     void requestsResponsesAndLoadReports() throws Exception {
         Recording recording = new Recording("http-and-load-reports");
-        recording.add(text(Http.request("GET", "/probe")));
-        recording.add(text(Http.request("GET", "/list", "accept", "text/event-stream")));
-        recording.add(text(Http.response(200)));
-        recording.add(text(Http.response(503, "x-unrun", "1", "endpoint-load-metrics", "TEXT")));
+        recording.add(text(HttpParser.request("GET", "/probe")));
+        recording.add(text(HttpParser.request("GET", "/list", "accept", "text/event-stream")));
+        recording.add(text(HttpParser.response(200)));
+        recording.add(
+                text(HttpParser.response(503, "x-unrun", "1", "endpoint-load-metrics", "TEXT")));
         recording.add(
                 text(
-                        Http.response(
+                        HttpParser.response(
                                 404,
                                 "none".getBytes(StandardCharsets.US_ASCII),
                                 "content-type",
                                 "text/plain")));
-        new Http(
+        new HttpParser(
                         m ->
                                 recording.add(
-                                        m.first()
+                                        m.methodOrVersion()
                                                 + " | "
-                                                + m.second()
+                                                + m.targetOrStatus()
                                                 + " | "
                                                 + m.status()
                                                 + " | "
                                                 + m.headers()
                                                 + " | "
                                                 + text(m.body())))
-                .received(
+                .parse(
                         ByteBuffer.wrap(
                                 ("HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics:"
                                                 + " TEXT cpu_utilization=0.5\r\n"
@@ -67,7 +68,8 @@
                         "cpu_utilization=0.5",
                         "")) {
             for (String name : List.of("cpu_utilization", "named_metrics.latency_ms")) {
-                recording.add(report + " | " + name + " | " + LoadText.figure(report, name, MOST));
+                recording.add(
+                        report + " | " + name + " | " + OrcaTextParser.metric(report, name, MOST));
             }
         }
         recording.check();
--- a/src/test/java/sprucelanding/loop/ConnTest.java
+++ b/src/test/java/sprucelanding/runtime/eventloop/TcpConnectionTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.loop;
+package sprucelanding.runtime.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -15,14 +15,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-class ConnTest {
-    private static final int ANSWER = 400_000; // more than the small buffers between take
+class TcpConnectionTest {
+    private static final int RESPONSE_BYTES = 400_000; // more than the small buffers between take
 
-    private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> closeReasons = new LinkedBlockingQueue<>();
 
     /** Answers the first byte that comes with much, through a small buffer, and may finish then. */
-    private int server(Loop loop, boolean finishes) {
-        return loop.port(
+    private int startServer(EventLoop loop, boolean finishAfterResponse) {
+        return loop.localPort(
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         5,
@@ -32,32 +32,39 @@
                             } catch (java.io.IOException e) {
                                 throw new java.io.UncheckedIOException(e);
                             }
-                            loop.adopt(
+                            loop.register(
                                     channel,
-                                    2 * ANSWER,
-                                    new Conn.Listener() {
+                                    2 * RESPONSE_BYTES,
+                                    new TcpConnection.Listener() {
                                         @Override
-                                        public void received(Conn conn, ByteBuffer in) {
-                                            conn.write(new byte[ANSWER]);
-                                            if (finishes) {
-                                                conn.finish(300);
+                                        public void onReceived(
+                                                TcpConnection connection, ByteBuffer buffer) {
+                                            connection.write(new byte[RESPONSE_BYTES]);
+                                            if (finishAfterResponse) {
+                                                connection.finish(300);
                                             }
                                         }
 
                                         @Override
-                                        public boolean answersStill(Conn conn) {
+                                        public boolean drainsAfterPeerClose(
+                                                TcpConnection connection) {
                                             return true;
                                         }
 
                                         @Override
-                                        public void closed(Conn conn, String why) {
-                                            ends.add(why + ", " + conn.unread() + " bytes");
+                                        public void onClosed(
+                                                TcpConnection connection, String reason) {
+                                            closeReasons.add(
+                                                    reason
+                                                            + ", "
+                                                            + connection.unsentBytes()
+                                                            + " bytes");
                                         }
                                     });
                         }));
     }
 
-    private static Socket dial(int port) throws Exception {
+    private static Socket connect(int port) throws Exception {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 15_000);
@@ -67,31 +74,31 @@
     }
 
     @Test
-    void aPeerThatEndsItsSideBeforeItReadsGetsAllThatItIsOwed() throws Exception {
-        try (Loop loop = Loop.started("conn");
-                Socket socket = dial(server(loop, false))) {
+    void halfClosedPeerReceivesAllPendingBytes() throws Exception {
+        try (EventLoop loop = EventLoop.start("conn");
+                Socket socket = connect(startServer(loop, false))) {
             socket.shutdownOutput();
-            assertEquals(ANSWER, socket.getInputStream().readAllBytes().length);
-            assertNotNull(ends.poll(15, TimeUnit.SECONDS));
-            assertTrue(ends.isEmpty(), "it ends once");
+            assertEquals(RESPONSE_BYTES, socket.getInputStream().readAllBytes().length);
+            assertNotNull(closeReasons.poll(15, TimeUnit.SECONDS));
+            assertTrue(closeReasons.isEmpty(), "it ends once");
         }
     }
 
     @Test
-    void onePeerThatNeverTakesItsAnswerIsClosedInTime() throws Exception {
-        try (Loop loop = Loop.started("conn");
-                Socket socket = dial(server(loop, true))) {
-            assertEquals("not taken in time, 0 bytes", ends.poll(15, TimeUnit.SECONDS));
+    void peerThatNeverReadsIsClosedAfterTimeout() throws Exception {
+        try (EventLoop loop = EventLoop.start("conn");
+                Socket socket = connect(startServer(loop, true))) {
+            assertEquals("not taken in time, 0 bytes", closeReasons.poll(15, TimeUnit.SECONDS));
             assertTrue(socket.isConnected());
         }
     }
 
     @Test
-    void whatFailsOnceIsDueAgain() throws Exception {
+    void failedPeriodicTaskRunsAgain() throws Exception {
         AtomicInteger runs = new AtomicInteger();
         BlockingQueue<Integer> done = new LinkedBlockingQueue<>();
-        Loop loop = new Loop("every", (what, cause) -> {});
-        loop.every(
+        EventLoop loop = new EventLoop("every", (message, cause) -> {});
+        loop.scheduleWithFixedDelay(
                 5,
                 () -> {
                     done.add(runs.incrementAndGet());
--- a/src/test/java/sprucelanding/governor/RecordedOwnFilesTest.java
+++ b/src/test/java/sprucelanding/runtime/governor/RecordedOwnFilesTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.governor;
+package sprucelanding.runtime.governor;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sprucelanding.fleet.Peers;
+import sprucelanding.control.discovery.EndpointList;
+import sprucelanding.control.membership.FailureDetector;
 import sprucelanding.recorded.Recorded;
-import sprucelanding.roster.Roll;
 
 /**
  * Files of a governor's own: the number its next epochs begin above, the last list of replicas, and
@@ -38,10 +38,10 @@
     @Test
     void theIncarnationFileIsWrittenAsRecorded() throws IOException {
         Path file = folder.resolve("incarnation");
-        Lives first = new Lives(file, WALL);
-        assertEquals(WALL, first.life());
+        GenerationFile first = new GenerationFile(file, WALL);
+        assertEquals(WALL, first.generation());
         Recorded.assertBytes("governor/incarnation", Files.readAllBytes(file));
-        first.heard(HEARD);
+        first.recordEpoch(HEARD);
         Recorded.assertBytes("governor/incarnation-heard", Files.readAllBytes(file));
     }
 
@@ -49,21 +49,21 @@
     void theRecordedIncarnationIsWhatTheNextOneBeginsAbove() throws IOException {
         Path file = folder.resolve("incarnation");
         Files.copy(Recorded.file("governor/incarnation"), file);
-        assertEquals(WALL + 100_001, new Lives(file, WALL - 5).life());
+        assertEquals(WALL + 100_001, new GenerationFile(file, WALL - 5).generation());
         assertEquals((WALL + 200_001) + "\n", Files.readString(file));
         Path heard = folder.resolve("heard");
         Files.copy(Recorded.file("governor/incarnation-heard"), heard);
-        assertEquals(HEARD + 100_001, new Lives(heard, WALL).life());
+        assertEquals(HEARD + 100_001, new GenerationFile(heard, WALL).generation());
     }
 
     @Test
     void theKeptListIsWrittenAsRecorded() throws Exception {
-        Roll list = new Roll(ZONES, KINDS);
-        list.tell(CHANGES);
+        EndpointList list = new EndpointList(ZONES, KINDS);
+        list.update(CHANGES);
         Path file = folder.resolve("list");
-        Keep keep = new Keep(file);
+        EndpointListFile keep = new EndpointListFile(file);
         assertNull(keep.read());
-        keep.put(list.text());
+        keep.store(list.toJson());
         while (!Files.exists(file)) {
             Thread.sleep(1);
         }
@@ -75,37 +75,37 @@
     void theRecordedListIsReadInFull() throws Exception {
         Path file = folder.resolve("list");
         Files.copy(Recorded.file("governor/endpoint-list.json"), file);
-        Keep keep = new Keep(file);
-        Roll list = new Roll(ZONES, KINDS);
-        Roll.Told told = list.tell(keep.read());
+        EndpointListFile keep = new EndpointListFile(file);
+        EndpointList list = new EndpointList(ZONES, KINDS);
+        EndpointList.ListUpdate told = list.update(keep.read());
         keep.close();
         assertEquals(41, told.version());
-        assertEquals(true, told.whole());
+        assertEquals(true, told.complete());
         assertEquals(2, told.entries().size());
-        var first = list.entry(1);
+        var first = list.endpoint(1);
         assertEquals("10.0.0.1:8080", first.host() + ":" + first.port());
-        assertEquals(List.of(0, 0), List.of(first.zone(), first.kind()));
+        assertEquals(List.of(0, 0), List.of(first.zone(), first.machineKind()));
         assertEquals(List.of(1.5, 1.7e12), List.of(first.weight(), first.startedAt()));
-        assertEquals(0, first.stage().ordinal());
-        var second = list.entry(4294967295L);
+        assertEquals(0, first.state().ordinal());
+        var second = list.endpoint(4294967295L);
         assertEquals("[::1]:65535", second.host() + ":" + second.port());
-        assertEquals(List.of(1, 1), List.of(second.zone(), second.kind()));
+        assertEquals(List.of(1, 1), List.of(second.zone(), second.machineKind()));
         assertEquals(List.of(1.0, 0.0), List.of(second.weight(), second.startedAt()));
-        assertEquals(1, second.stage().ordinal());
-        assertEquals(Files.readString(file), list.text());
+        assertEquals(1, second.state().ordinal());
+        assertEquals(Files.readString(file), list.toJson());
     }
 
     /** The file is written by hand; what it decodes to is seen by what its keys sign. */
     @Test
     void theFirstRecordedKeySignsAndAllAreAccepted() throws Exception {
-        Secrets both = new Secrets(Recorded.privateCopy("governor/keys", folder));
-        Secrets old = new Secrets(Recorded.privateCopy("governor/old-key", folder));
-        Peers.Beat beat = new Peers.Beat(3, List.of());
-        Recorded.assertBytes("governor/signed-by-first-key", both.packets().put(beat));
-        Recorded.assertBytes("governor/signed-by-second-key", old.packets().put(beat));
+        PeerKeys both = new PeerKeys(Recorded.privateCopy("governor/keys", folder));
+        PeerKeys old = new PeerKeys(Recorded.privateCopy("governor/old-key", folder));
+        FailureDetector.Heartbeat beat = new FailureDetector.Heartbeat(3, List.of());
+        Recorded.assertBytes("governor/signed-by-first-key", both.codec().encode(beat));
+        Recorded.assertBytes("governor/signed-by-second-key", old.codec().encode(beat));
         for (String each :
                 List.of("governor/signed-by-first-key", "governor/signed-by-second-key")) {
-            assertEquals(beat, both.packets().take(Files.readAllBytes(Recorded.file(each))));
+            assertEquals(beat, both.codec().decode(Files.readAllBytes(Recorded.file(each))));
         }
     }
 }
--- a/src/test/java/sprucelanding/governor/RecordedProbeTest.java
+++ b/src/test/java/sprucelanding/runtime/governor/RecordedProbeTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.governor;
+package sprucelanding.runtime.governor;
 
 import java.io.ByteArrayOutputStream;
 import java.io.InputStream;
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sprucelanding.Choice;
-import sprucelanding.loop.Loop;
-import sprucelanding.rig.Recording;
+import sprucelanding.control.decision.RoutingController;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.testing.Recording;
 
 /**
  * A health check over a real socket: the bytes that a replica is sent, and what each of its answers
@@ -41,14 +41,14 @@
         return answers;
     }
 
-    private static String word(Choice.Answer answer) {
+    private static String word(RoutingController.HealthCheckResult answer) {
         return switch (answer) {
             case OK -> "healthy";
             case BUSY -> "busy";
             case ERROR -> "in error";
-            case SILENT -> "silent";
+            case TIMED_OUT -> "silent";
             case UNREACHABLE -> "unreachable";
-            case NONE -> "not asked";
+            case NOT_PERFORMED -> "not asked";
         };
     }
 
@@ -68,7 +68,7 @@
     @Test
     void whatIsAskedAndWhatAnswersAreTakenFor() throws Exception {
         Recording recording = new Recording("health-checks");
-        Loop loop = new Loop("probe");
+        EventLoop loop = new EventLoop("probe");
         Thread thread = new Thread(loop, "probe");
         thread.setDaemon(true);
         thread.start();
@@ -77,9 +77,9 @@
             InetSocketAddress at =
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
             for (Map.Entry<String, String> each : answers().entrySet()) {
-                loop.hand(
+                loop.tryExecute(
                         () ->
-                                new Probe(
+                                new HealthCheck(
                                         loop,
                                         REPLICA,
                                         at,
--- a/src/test/java/sprucelanding/governor/SharedStructuresTest.java
+++ b/src/test/java/sprucelanding/runtime/governor/SharedStructuresTest.java
@@ -1,17 +1,17 @@
-package sprucelanding.governor;
+package sprucelanding.runtime.governor;
 
 import org.jetbrains.lincheck.datastructures.ModelCheckingOptions;
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
-import sprucelanding.delivery.Holder;
-import sprucelanding.loop.Mailbox;
+import sprucelanding.control.delivery.ProxyStream;
+import sprucelanding.runtime.eventloop.Mailbox;
 
 /**
  * What several threads share does as if they took turns, in every order of their steps that is
  * tried.
  */
 class SharedStructuresTest {
-    private static ModelCheckingOptions tried() {
+    private static ModelCheckingOptions checkingOptions() {
         return new ModelCheckingOptions()
                 .iterations(6)
                 .invocationsPerIteration(300)
@@ -22,12 +22,12 @@
                 .minimizeFailedScenario(false);
     }
 
-    public static class Mail {
+    public static class MailboxModel {
         private final Mailbox<Integer> mailbox = new Mailbox<>(2);
 
         @Operation
-        public boolean offer(int what) {
-            return mailbox.offer(what);
+        public boolean offer(int item) {
+            return mailbox.offer(item);
         }
 
         @Operation
@@ -46,53 +46,53 @@
         }
     }
 
-    public static class Named {
-        private final Numbers numbers = new Numbers(2);
+    public static class ProxyIdsModel {
+        private final ProxyIds proxyIds = new ProxyIds(2);
 
         @Operation
         public int of(int name) {
-            return numbers.of("proxy-" + name);
+            return proxyIds.idOf("proxy-" + name);
         }
 
         @Operation
         public String name(int number) {
-            return numbers.name(number);
+            return proxyIds.nameOf(number);
         }
     }
 
     /** The core grants and takes back while a writer looks: what it sees was granted as a whole. */
-    public static class Leased {
-        private final Holder holder = new Holder(1, Holder.Form.CHANGES, null);
+    public static class LeaseModel {
+        private final ProxyStream stream = new ProxyStream(1, ProxyStream.UpdateMode.CHANGES, null);
 
         @Operation(nonParallelGroup = "core")
         public void grant(int epoch) {
-            holder.leased(epoch + 1000.0, epoch);
+            stream.leaseGranted(epoch + 1000.0, epoch);
         }
 
         @Operation(nonParallelGroup = "core")
-        public void takesBack() {
-            holder.leased(Double.NEGATIVE_INFINITY, holder.lease().epoch());
+        public void revoke() {
+            stream.leaseGranted(Double.NEGATIVE_INFINITY, stream.lease().epoch());
         }
 
         @Operation
-        public String looks() {
-            Holder.Lease lease = holder.lease();
-            return lease.holds(5) + " " + lease.epoch();
+        public String readLease() {
+            ProxyStream.Lease lease = stream.lease();
+            return lease.isValidAt(5) + " " + lease.epoch();
         }
     }
 
     @Test
-    void aMailboxTakesInOrderAndNothingOnceItIsClosed() {
-        tried().check(Mail.class);
+    void mailboxIsLinearizable() {
+        checkingOptions().check(MailboxModel.class);
     }
 
     @Test
-    void aNameHasOneNumberWhoeverAsksFirst() {
-        tried().check(Named.class);
+    void proxyIdsAreLinearizable() {
+        checkingOptions().check(ProxyIdsModel.class);
     }
 
     @Test
-    void aLeaseIsSeenWholeByTheWriter() {
-        tried().check(Leased.class);
+    void leaseIsReadAtomically() {
+        checkingOptions().check(LeaseModel.class);
     }
 }
--- /dev/null
+++ b/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
@@ -0,0 +1,333 @@
+package sprucelanding.runtime.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.eclipsesource.json.Json;
+import com.eclipsesource.json.JsonObject;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.TreeSet;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import sprucelanding.control.settings.SettingsReader;
+import sprucelanding.runtime.eventloop.EventLoop;
+
+/**
+ * What is still owed when something ends, on real sockets, the order of events forced; afterwards
+ * nothing may be left over.
+ */
+class ConnectionEndsTest {
+    @TempDir Path folder;
+
+    @Test
+    void connectionRejectedWhileSendingGetsItsResponseWithoutReset() throws Exception {
+        try (ServerHarness harness = new ServerHarness(folder)) {
+            ServerHarness.Peer peer =
+                    harness.connect()
+                            .send("noise\n" + "x".repeat(60_000)); // far more than is read at once
+            for (int i = 0; i < 1500 && !harness.hasLogged("a connection is refused"); i++) {
+                Thread.sleep(10);
+            }
+            for (int i = 0;
+                    i < 20;
+                    i++) { // so many rounds of the loop: a close at once would have been a reset by
+                // now
+                harness.onLoop(() -> null);
+            }
+            assertEquals("{\"msg\":\"refused\"}", peer.readLine());
+            assertEquals(-1, peer.socket.getInputStream().read(), "closed, and not reset");
+            peer.close();
+            harness.assertNothingLeft();
+        }
+    }
+
+    @Test
+    void rejectedConnectionThatNeverClosesReleasesItsDescriptor() throws Exception {
+        try (ServerHarness harness = new ServerHarness(folder)) {
+            harness.connect().send("noise\n");
+            for (int i = 0; i < 1500 && !harness.hasLogged("a connection is refused"); i++) {
+                Thread.sleep(10);
+            }
+            for (int i = 0;
+                    i < 500
+                            && !harness.onLoop(harness.listener::resourceSummary)
+                                    .startsWith("0 open");
+                    i++) {
+                Thread.sleep(10);
+            }
+            assertTrue(
+                    harness.onLoop(harness.listener::resourceSummary).startsWith("0 open"),
+                    "its peer has not closed");
+            harness.assertNothingLeft();
+        }
+    }
+
+    @Test
+    void closingConnectionsAreDroppedFirstWhenDescriptorsRunOut() throws Exception {
+        try (ServerHarness harness =
+                new ServerHarness(folder, 44)) { // four beside the program's own
+            List<ServerHarness.Peer> refused = new ArrayList<>();
+            for (int i = 0; i < 3; i++) {
+                refused.add(harness.connect().send("noise\n"));
+                assertNotNull(refused.get(i).readLine());
+            }
+            ServerHarness.Peer waiting = harness.connect();
+            ServerHarness.Peer second = harness.connect();
+            assertNotNull(second.send("{\"msg\":\"ping\"}\n").readLine());
+            assertNotNull(
+                    waiting.send("{\"msg\":\"ping\"}\n").readLine(),
+                    "it was not refused for room that others were leaving");
+            harness.assertNothingLeft();
+        }
+    }
+
+    @Test
+    void messagesAfterARejectionAreIgnored() throws Exception {
+        try (ServerHarness harness = new ServerHarness(folder)) {
+            ServerHarness.Peer peer =
+                    harness.connect().send("noise\n" + ServerHarness.joinMessage(4));
+            assertTrue(peer.isRejected());
+            assertTrue(harness.onLoop(harness.listener::resourceSummary).endsWith("0 streams"));
+            harness.assertNothingLeft();
+        }
+    }
+
+    @Test
+    void halfClosedConnectionStillReceivesItsPongs() throws Exception {
+        try (ServerHarness harness = new ServerHarness(folder)) {
+            ServerHarness.Peer peer = harness.connect().send("{\"msg\":\"ping\"}\n".repeat(2000));
+            peer.socket.shutdownOutput();
+            for (int i = 0; i < 2000; i++) {
+                assertEquals("{\"msg\":\"pong\"}", peer.readLine());
+            }
+            assertNull(peer.readLine());
+            harness.assertNothingLeft();
+        }
+    }
+
+    @Test
+    void connectionClosedDuringAcceptLeavesNothingBehind() throws Exception {
+        try (ServerHarness harness = new ServerHarness(folder);
+                ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            SocketChannel closedChannel =
+                    SocketChannel.open(
+                            new InetSocketAddress(
+                                    InetAddress.getLoopbackAddress(), server.getLocalPort()));
+            closedChannel.close();
+            harness.onLoop(
+                    () -> {
+                        harness.listener.onAccepted(closedChannel);
+                        return null;
+                    });
+            harness.assertNothingLeft();
+            harness.joinedStream(3);
+        }
+    }
+
+    @Test
+    void connectionThatCannotBeRegisteredReleasesItsDescriptor() throws Exception {
+        try (ServerHarness harness = new ServerHarness(folder);
+                ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            SocketChannel channel =
+                    SocketChannel.open(
+                            new InetSocketAddress(
+                                    InetAddress.getLoopbackAddress(), server.getLocalPort()));
+            EventLoop closedLoop = new EventLoop("over");
+            closedLoop.close();
+            closedLoop.run(); // it gives its selector back at once: nothing can be adopted any more
+            try {
+                closedLoop.register(channel, 1, (connection, buffer) -> {});
+            } catch (RuntimeException e) {
+                assertFalse(channel.isOpen(), "closed with the failure");
+                return;
+            }
+            throw new AssertionError("it was adopted by a loop that has ended");
+        }
+    }
+
+    @Test
+    void acknowledgementForAnOlderStreamIsIgnoredOnTheNewer() throws Exception {
+        try (ServerHarness harness = new ServerHarness(folder)) {
+            ServerHarness.Peer older = harness.connect().send(ServerHarness.joinMessage(5));
+            Matcher acknowledgement =
+                    Pattern.compile("nonce_out\":(\\d+)").matcher(older.readUntil("full"));
+            assertTrue(acknowledgement.find());
+            ServerHarness.Peer newer =
+                    harness.connect()
+                            .send(
+                                    ServerHarness.joinMessage(5)
+                                            + "{\"msg\":\"applied\",\"sidecar\":5,\"version\":"
+                                            + acknowledgement.group(1)
+                                            + ",\"lag_ms\":3}\n");
+            older.send(
+                    "{\"msg\":\"applied\",\"sidecar\":5,\"version\":"
+                            + acknowledgement.group(1)
+                            + ",\"lag_ms\":3}\n");
+            assertTrue(newer.readUntil("full").contains("s-1"), "it has its own table");
+            assertNull(older.readLine());
+            assertTrue(harness.hasLogged("version was not asked for on this stream"));
+            harness.assertNothingLeft();
+        }
+    }
+
+    @Test
+    void streamResetDuringAWriteDoesNotAffectOthers() throws Exception {
+        try (ServerHarness harness = new ServerHarness(folder)) {
+            ServerHarness.Peer watch = harness.nextWatch("index=41");
+            List<ServerHarness.Peer> streams = new ArrayList<>();
+            for (int proxy = 0; proxy < 9; proxy++) {
+                streams.add(harness.joinedStream(proxy));
+            }
+            streams.get(4).socket.setSoLinger(true, 0);
+            streams.get(4).close(); // a reset that may be noticed only by the write
+            watch.send(
+                    ServerHarness.chunk(
+                            ServerHarness.list(42, false, ServerHarness.entry("s-2", "draining"))));
+            for (int proxy = 0; proxy < 9; proxy++) {
+                if (proxy != 4) {
+                    assertTrue(streams.get(proxy).readUntil("s-2").contains("[\"s-2\",0]"));
+                }
+            }
+            harness.assertNothingLeft();
+        }
+    }
+
+    @Test
+    void failedWriteEndsOnlyItsOwnStream() throws Exception {
+        EventLog eventLog =
+                new EventLog(
+                        new java.io.PrintStream(
+                                new java.io.ByteArrayOutputStream(), true, StandardCharsets.UTF_8),
+                        EventLoop::nowMillis);
+        JsonObject settings =
+                Json.parse(
+                                "{\"classes\":[{\"name\":\"read\"}],\"zones\":[\"a\"],\"kinds\":[\"m1\"]}")
+                        .asObject();
+        try (EventLoop loop = EventLoop.start("desk")) {
+            ControllerHost host =
+                    new ControllerHost(loop, eventLog, new SettingsReader(settings), 1);
+            BlockingQueue<String> events = new LinkedBlockingQueue<>();
+            loop.tryExecute(
+                    () -> {
+                        host.applyEndpointList(
+                                Json.parse(
+                                                ServerHarness.list(
+                                                        1,
+                                                        true,
+                                                        ServerHarness.entry("s-1", "ready")))
+                                        .asObject(),
+                                true);
+                        for (int proxy = 0; proxy < 3; proxy++) {
+                            host.proxyJoined(
+                                    proxy, 0, 10, true, new TestStream(proxy, proxy == 1, events));
+                        }
+                    });
+            TreeSet<String> outcomes = new TreeSet<>();
+            for (int i = 0; i < 3; i++) {
+                outcomes.add(String.valueOf(events.poll(15, TimeUnit.SECONDS)));
+            }
+            assertEquals("[0 written, 1 fails, 2 written]", outcomes.toString());
+        }
+    }
+
+    private record TestStream(int proxyId, boolean broken, BlockingQueue<String> events)
+            implements ControllerHost.UpdateStream {
+        @Override
+        public void write(byte[] update, int acknowledgementId) {
+            if (broken) {
+                throw new IllegalStateException("cannot be written");
+            }
+            events.add(proxyId + " written");
+        }
+
+        @Override
+        public void superseded() {
+            events.add(proxyId + " over");
+        }
+
+        @Override
+        public void fail(String reason) {
+            events.add(proxyId + " fails");
+        }
+    }
+
+    @Test
+    void listThatFailsToApplyIsRequestedAgainInFull() throws Exception {
+        BlockingQueue<String> requests = new LinkedBlockingQueue<>();
+        BlockingQueue<Integer> revisions = new LinkedBlockingQueue<>();
+        try (EventLoop loop = EventLoop.start("watch");
+                ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            Thread discoveryThread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    while (true) {
+                                        ServerHarness.Peer peer =
+                                                new ServerHarness.Peer(server.accept());
+                                        requests.add(peer.readLine());
+                                        peer.send(
+                                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                                        + ServerHarness.chunk(
+                                                                ServerHarness.list(7, true)));
+                                    }
+                                } catch (IOException e) {
+                                    // the test has ended
+                                }
+                            });
+            discoveryThread.setDaemon(true);
+            discoveryThread.start();
+            EventLog eventLog =
+                    new EventLog(
+                            new java.io.PrintStream(
+                                    new java.io.ByteArrayOutputStream(),
+                                    true,
+                                    StandardCharsets.UTF_8),
+                            EventLoop::nowMillis);
+            DiscoveryWatch watch =
+                    new DiscoveryWatch(
+                            loop,
+                            new InetSocketAddress(
+                                    InetAddress.getLoopbackAddress(), server.getLocalPort()),
+                            new DiscoveryWatch.ListHandler() {
+                                private int lists;
+
+                                @Override
+                                public boolean onList(JsonObject list) {
+                                    if (lists++ == 0) {
+                                        throw new IllegalStateException("half of it was taken in");
+                                    }
+                                    revisions.add(list.getInt("rev", 0));
+                                    return true;
+                                }
+
+                                @Override
+                                public long revision() {
+                                    return 6;
+                                }
+                            },
+                            eventLog);
+            loop.tryExecute(watch::start);
+            assertTrue(requests.poll(15, TimeUnit.SECONDS).contains("index=6"));
+            String again = requests.poll(15, TimeUnit.SECONDS);
+            assertNotNull(again, "the watch stayed on a list that has not come into force");
+            assertFalse(again.contains("index"), again);
+            assertEquals(7, revisions.poll(15, TimeUnit.SECONDS));
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
@@ -0,0 +1,174 @@
+package sprucelanding.runtime.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.eclipsesource.json.Json;
+import java.util.BitSet;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.junit.jupiter.api.Test;
+import sprucelanding.control.decision.RequestClass;
+import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.settings.MalformedInputException;
+
+class EndpointDirectoryTest {
+    private final RoutingController controller =
+            new RoutingController(
+                    new SplittableRandom(1),
+                    new RequestClass[] {
+                        new RequestClass(0, true, 1, 800, new BitSet(), new BitSet(), false)
+                    },
+                    1,
+                    RoutingController.AdmissionMode.SHARE);
+    private final EndpointDirectory directory = new EndpointDirectory(List.of("a"), List.of("m1"));
+
+    private boolean applyList(double nowMillis, String list) {
+        return directory.applyList(Json.parse(list).asObject(), false, nowMillis, controller);
+    }
+
+    @Test
+    void malformedEntryDoesNotAffectOthers() {
+        assertTrue(
+                applyList(
+                        0,
+                        ServerHarness.list(
+                                1,
+                                true,
+                                ServerHarness.entry("s-1", "ready"),
+                                ServerHarness.entry("s-2", "ready"))));
+        for (String malformed :
+                List.of(
+                        "7",
+                        "{}",
+                        ServerHarness.entry("s-1", "asleep"),
+                        ServerHarness.entry("", "ready"),
+                        ServerHarness.entry("s-1", "ready").replace("127.0.0.1:9", "nowhere"),
+                        ServerHarness.entry("s-1", "ready").replace("\"a\"", "\"z\""),
+                        ServerHarness.entry("s-1", "ready")
+                                .replace("\"boot_ms\":0", "\"boot_ms\":-1"))) {
+            assertFalse(
+                    applyList(
+                            0,
+                            ServerHarness.list(
+                                    2, true, ServerHarness.entry("s-3", "ready"), malformed)),
+                    malformed);
+            assertEquals(
+                    RoutingController.EndpointState.AVAILABLE,
+                    directory.find("s-1").state,
+                    malformed);
+            assertEquals(
+                    RoutingController.EndpointState.AVAILABLE,
+                    directory.find("s-2").state,
+                    malformed);
+            assertNotNull(directory.find("s-3"));
+            assertEquals(1, directory.revision(), "it goes on from the last that was whole");
+        }
+        assertThrows(MalformedInputException.class, () -> applyList(0, "{\"rev\":3,\"all\":true}"));
+        assertThrows(
+                MalformedInputException.class,
+                () -> applyList(0, "{\"rev\":3.5,\"all\":true,\"targets\":[]}"));
+    }
+
+    private static String startedEntry(String uid, long bootMillis) {
+        return ServerHarness.entry(uid, "ready")
+                .replace("\"boot_ms\":0", "\"boot_ms\":" + bootMillis);
+    }
+
+    @Test
+    void clockErrorIsDetectedByTheNextStartAndCorrectsAllStartTimes() {
+        for (long offsetMillis : new long[] {3_600_000, -3_600_000}) {
+            EndpointDirectory localDirectory = new EndpointDirectory(List.of("a"), List.of("m1"));
+            long wallMillis = 1_796_000_000_000L;
+            double nowMillis = wallMillis + offsetMillis;
+            localDirectory.applyList(
+                    Json.parse(
+                                    ServerHarness.list(
+                                            1,
+                                            true,
+                                            startedEntry("s-1", wallMillis - 10_000),
+                                            ServerHarness.entry("s-2", "ready")))
+                            .asObject(),
+                    true,
+                    nowMillis,
+                    controller);
+            localDirectory.applyList(
+                    Json.parse(
+                                    ServerHarness.list(
+                                            2, false, startedEntry("s-3", wallMillis - 5_000)))
+                            .asObject(),
+                    false,
+                    nowMillis,
+                    controller);
+            localDirectory.applyList(
+                    Json.parse(
+                                    ServerHarness.list(
+                                            3, false, startedEntry("s-4", wallMillis + 1_000)))
+                            .asObject(),
+                    false,
+                    nowMillis + 2_000,
+                    controller);
+            assertEquals(
+                    1_000,
+                    nowMillis + 2_000 - localDirectory.find("s-4").startedAtMillis,
+                    1_500,
+                    "step " + offsetMillis);
+            assertEquals(
+                    12_000,
+                    nowMillis + 2_000 - localDirectory.find("s-1").startedAtMillis,
+                    2_500,
+                    "step " + offsetMillis);
+            assertEquals(0, localDirectory.find("s-2").startedAtMillis, "long past");
+        }
+    }
+
+    @Test
+    void onlyEndpointsLongGoneAreRemoved() {
+        applyList(
+                0,
+                ServerHarness.list(
+                        1,
+                        true,
+                        ServerHarness.entry("s-1", "ready"),
+                        ServerHarness.entry("s-2", "ready"),
+                        ServerHarness.entry("s-3", "ready")));
+        long id = directory.find("s-1").id;
+        applyList(1000, ServerHarness.list(2, false, ServerHarness.entry("s-1", "gone")));
+        applyList(100_000, ServerHarness.list(3, true, ServerHarness.entry("s-2", "draining")));
+        assertFalse(directory.removeGone(180_000, endpointId -> false));
+        assertTrue(directory.removeGone(182_000, endpointId -> false));
+        assertNull(directory.find("s-1"));
+        assertNull(directory.find(id));
+        assertNotNull(directory.find("s-2"));
+        assertNotNull(directory.find("s-3"));
+        applyList(200_000, ServerHarness.list(4, true, ServerHarness.entry("s-2", "ready")));
+        assertTrue(
+                directory.removeGone(290_000, endpointId -> false),
+                "gone is counted from when it was first told");
+        assertNull(directory.find("s-3"));
+    }
+
+    @Test
+    void endpointIsKeptWhileATableHoldsIt() {
+        assertTrue(
+                applyList(
+                        0,
+                        ServerHarness.list(
+                                1,
+                                true,
+                                ServerHarness.entry("s-1", "ready"),
+                                ServerHarness.entry("s-2", "ready"))));
+        assertTrue(
+                applyList(1000, ServerHarness.list(2, false, ServerHarness.entry("s-1", "gone"))));
+        long heldId = directory.find("s-1").id;
+        assertFalse(
+                directory.removeGone(900_000, id -> id == heldId),
+                "its removal is still owed, and goes by its name");
+        assertNotNull(directory.find("s-1"));
+        assertTrue(directory.removeGone(900_000, id -> false));
+    }
+}
--- a/src/test/java/sprucelanding/platform/RecordedPlatformTest.java
+++ b/src/test/java/sprucelanding/runtime/server/RecordedPlatformTest.java
@@ -1,14 +1,14 @@
-package sprucelanding.platform;
+package sprucelanding.runtime.server;
 
 import java.io.IOException;
 import java.util.BitSet;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import sprucelanding.Choice;
-import sprucelanding.Product;
-import sprucelanding.Replica;
-import sprucelanding.wire.WireRecording;
+import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.decision.RequestClass;
+import sprucelanding.control.decision.RoutingController;
+import sprucelanding.simulation.simulator.WireRecording;
 
 /**
  * Compares the bytes of the updates that a governor sends its proxies with a recording.
@@ -58,8 +58,8 @@
                 new VirtualGovernor(
                         endpoint ->
                                 endpoint.equals("e-7") && step[0] >= 30 && step[0] < 50
-                                        ? Choice.Answer.UNREACHABLE
-                                        : Choice.Answer.OK);
+                                        ? RoutingController.HealthCheckResult.UNREACHABLE
+                                        : RoutingController.HealthCheckResult.OK);
         governor.discovery(ready(41, 10), true);
         for (step[0] = 0; step[0] < STEPS; step[0]++) {
             governor.passes(STEP_MS);
@@ -108,19 +108,20 @@
             boolean sick = number == 4 && step >= 32 && step < 48;
             boolean silent = number == 7 && step >= 30 && step < 50;
             double load = overload ? 0.99 : 0.4 + 0.05 * (number % 4);
-            int tries = 30 + number;
-            int failed = silent ? tries : sick ? 25 : overload ? 6 : 0;
-            governor.reports("e-" + number, tries, failed, overload ? 700 : 30 + number, load);
+            int attempts = 30 + number;
+            int failed = silent ? attempts : sick ? 25 : overload ? 6 : 0;
+            governor.reports("e-" + number, attempts, failed, overload ? 700 : 30 + number, load);
         }
         for (int proxy = 0; proxy < PROXIES; proxy++) {
-            governor.choice.came(proxy, proxy % 3, overload ? 90 : 25, 1000);
+            governor.choice.demandReported(proxy, proxy % 3, overload ? 90 : 25, 1000);
         }
     }
 
     /** Orders of the test's own, for forms that decisions seldom take. */
     @Test
     void updatesThatAreOrdered() throws IOException {
-        VirtualGovernor governor = new VirtualGovernor(endpoint -> Choice.Answer.OK);
+        VirtualGovernor governor =
+                new VirtualGovernor(endpoint -> RoutingController.HealthCheckResult.OK);
         governor.discovery(ready(41, 6), true);
         joins(governor, 0, 4, true);
         governor.passes(STEP_MS);
@@ -133,7 +134,8 @@
     /** A table with more lines than one object holds is continued in a second one. */
     @Test
     void aTableOfManyLines() throws IOException {
-        VirtualGovernor governor = new VirtualGovernor(endpoint -> Choice.Answer.OK);
+        VirtualGovernor governor =
+                new VirtualGovernor(endpoint -> RoutingController.HealthCheckResult.OK);
         governor.discovery(ready(41, MANY), true);
         governor.decides();
         governor.joins(0, "north", 10, true);
@@ -143,8 +145,8 @@
         }
         governor.transcript.setLength(0);
         BitSet first = BitSet.valueOf(new long[] {1});
-        governor.replicas.values().forEach(each -> governor.line(900, each, 1));
-        governor.bind(900, governor.proxies.get(0), first);
+        governor.replicas.values().forEach(each -> governor.setWeight(900, each, 1));
+        governor.bindProxy(900, governor.proxies.get(0), first);
         governor.writes();
         WireRecording.check("platform/many-lines.out", objectsByLine(governor.transcript));
     }
@@ -186,29 +188,29 @@
             governor.writes();
         }
 
-        private Replica replica(int number) {
+        private Endpoint replica(int number) {
             return governor.replicas.get("e-" + number);
         }
 
         private void level(int table, int product, double letIn, int retry) {
-            Product of = governor.products.get(product);
-            governor.level(table, of, letIn, retry);
+            RequestClass of = governor.products.get(product);
+            governor.setAdmission(table, of, letIn, retry);
         }
 
         private void bind(int table, int proxy, BitSet classes) {
-            governor.bind(table, governor.proxies.get(proxy), classes);
+            governor.bindProxy(table, governor.proxies.get(proxy), classes);
         }
 
         private void numbers() {
             double[] weights = {1.5, 2e7, 0.1 + 0.2, 33.3333335, 123456789.123456789, 0.000001};
             for (int i = 0; i < weights.length; i++) {
-                governor.line(WIDE, replica(i + 1), weights[i]);
+                governor.setWeight(WIDE, replica(i + 1), weights[i]);
             }
             bind(WIDE, 0, ALL);
             moment("a whole table, numbers of many kinds");
-            governor.line(WIDE, replica(2), 0.9999999);
-            governor.line(WIDE, replica(3), 1e-9);
-            governor.receipt(0);
+            governor.setWeight(WIDE, replica(2), 0.9999999);
+            governor.setWeight(WIDE, replica(3), 1e-9);
+            governor.requestAcknowledgement(0);
             moment("changed lines and the least receipt");
         }
 
@@ -221,21 +223,21 @@
             level(WIDE, 1, 1, 2);
             level(WIDE, 2, 0, 0);
             moment("levels that differ, two of them alike");
-            governor.line(WIDE, replica(1), 4);
+            governor.setWeight(WIDE, replica(1), 4);
             level(WIDE, 1, 0.333333333, 3);
             moment("a line and the level of one class");
             bind(WIDE, 1, ALL);
-            governor.receipt(59_999);
+            governor.requestAcknowledgement(59_999);
             moment("a whole table with levels that differ");
         }
 
         private void severalTables() {
-            governor.line(NARROW, replica(5), 7);
+            governor.setWeight(NARROW, replica(5), 7);
             level(NARROW, 1, 0.5, 1);
             level(NARROW, 2, 0.5, 1);
             bind(NARROW, 2, LAST_TWO);
             bind(WIDE, 2, FIRST);
-            governor.receipt(12);
+            governor.requestAcknowledgement(12);
             moment("two tables for one proxy");
             bind(NARROW, 0, FIRST);
             moment("one class goes to a table without a level for it");
@@ -244,53 +246,53 @@
         }
 
         private void changes() {
-            governor.line(WIDE, replica(4), 0);
-            governor.line(NARROW, replica(5), 8);
-            governor.receipt(13);
+            governor.setWeight(WIDE, replica(4), 0);
+            governor.setWeight(NARROW, replica(5), 8);
+            governor.requestAcknowledgement(13);
             moment("changes of two tables");
-            governor.line(NARROW, replica(6), 2);
-            governor.line(NARROW, replica(6), 0);
+            governor.setWeight(NARROW, replica(6), 2);
+            governor.setWeight(NARROW, replica(6), 0);
             moment("a line that comes and goes in one moment");
-            governor.clear(NARROW);
+            governor.clearTable(NARROW);
             moment("a table is cleared");
-            governor.clear(WIDE);
-            governor.line(WIDE, replica(1), 3);
-            governor.line(WIDE, replica(2), 3);
-            governor.line(WIDE, replica(2), 0);
+            governor.clearTable(WIDE);
+            governor.setWeight(WIDE, replica(1), 3);
+            governor.setWeight(WIDE, replica(2), 3);
+            governor.setWeight(WIDE, replica(2), 0);
             moment("a table is cleared and laid anew");
             moment("nothing was ordered");
         }
 
         private void withdrawals() {
-            governor.withdraw(replica(1), true);
-            governor.withdraw(replica(6), true);
+            governor.setEjected(replica(1), true);
+            governor.setEjected(replica(6), true);
             moment("withdrawals");
-            governor.withdraw(replica(1), false);
+            governor.setEjected(replica(1), false);
             moment("one is let back in");
-            governor.withdraw(replica(1), true);
-            governor.withdraw(replica(1), false);
+            governor.setEjected(replica(1), true);
+            governor.setEjected(replica(1), false);
             moment("out and back in one moment");
-            governor.line(WIDE, replica(1), 5);
+            governor.setWeight(WIDE, replica(1), 5);
             level(WIDE, 0, 0.25, 0);
-            governor.withdraw(replica(1), true);
-            governor.withdraw(replica(6), false);
-            governor.receipt(14);
+            governor.setEjected(replica(1), true);
+            governor.setEjected(replica(6), false);
+            governor.requestAcknowledgement(14);
             moment("lines, a level, a withdrawal, a restoration and a receipt together");
         }
 
         private void leavers() {
             governor.leaves(1);
-            governor.line(WIDE, replica(1), 6);
+            governor.setWeight(WIDE, replica(1), 6);
             moment("one proxy has left");
             governor.joins(1, "south", 5, false);
             bind(WIDE, 1, ALL);
             moment("it comes back with tables of elsewhere");
-            governor.withdraw(replica(1), false);
-            governor.withdraw(replica(3), true);
+            governor.setEjected(replica(1), false);
+            governor.setEjected(replica(3), true);
             moment("and is told of withdrawals in any case");
             governor.discovery(list(42, false, endpoint(1, "draining", 0)), false);
-            governor.line(WIDE, replica(1), 9);
-            governor.line(WIDE, replica(2), 9);
+            governor.setWeight(WIDE, replica(1), 9);
+            governor.setWeight(WIDE, replica(2), 9);
             bind(WIDE, 3, ALL);
             moment("an endpoint that left enters no table");
         }
--- a/src/test/java/sprucelanding/platform/RecordedSocketTest.java
+++ b/src/test/java/sprucelanding/runtime/server/RecordedSocketTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.platform;
+package sprucelanding.runtime.server;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import sprucelanding.loop.Loop;
-import sprucelanding.wire.WireRecording;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.simulation.simulator.WireRecording;
 
 /**
  * Compares what a governor sends over sockets with a recording: its answers to handshakes and
@@ -53,8 +53,8 @@
     }
 
     /** Everything up to the end of the connection. */
-    private void receivesAll(Place.Peer peer) throws IOException {
-        for (String line = peer.line(); line != null; line = peer.line()) {
+    private void receivesAll(ServerHarness.Peer peer) throws IOException {
+        for (String line = peer.readLine(); line != null; line = peer.readLine()) {
             received(line);
         }
         received(null);
@@ -62,7 +62,7 @@
 
     @Test
     void handshakes() throws IOException {
-        try (Place place = new Place(folder)) {
+        try (ServerHarness place = new ServerHarness(folder)) {
             for (String says :
                     List.of(
                             "noise\n",
@@ -97,7 +97,7 @@
                             PING + PING + "{\"msg\":\"collector\"}\n")) {
                 transcript.append("==\n");
                 sent(says);
-                receivesAll(place.dial().say(says));
+                receivesAll(place.connect().send(says));
             }
         }
         WireRecording.check("platform/handshakes.out", transcript.toString());
@@ -106,8 +106,8 @@
     /** What a proxy is sent when it joins, and the answers that show that its stream goes on. */
     @Test
     void aProxysStream() throws IOException {
-        try (Place place = new Place(folder)) {
-            Place.Peer peer = place.dial();
+        try (ServerHarness place = new ServerHarness(folder)) {
+            ServerHarness.Peer peer = place.connect();
             says(peer, PING + JOINED.formatted("5", "\"b\"", "21.5", "true"), 2);
             for (String message :
                     List.of(
@@ -127,15 +127,15 @@
                 saysAndPings(peer, message);
             }
             sent("{{{\n");
-            endsAfter(peer.say("{{{\n"));
+            endsAfter(peer.send("{{{\n"));
         }
         WireRecording.check("platform/proxy-stream.out", transcript.toString());
     }
 
     @Test
     void aCollectorsStream() throws IOException {
-        try (Place place = new Place(folder)) {
-            Place.Peer peer = place.dial();
+        try (ServerHarness place = new ServerHarness(folder)) {
+            ServerHarness.Peer peer = place.connect();
             saysAndPings(peer, "{\"msg\":\"collector\",\"az\":\"b\"}\n");
             for (String message :
                     List.of(
@@ -160,30 +160,30 @@
                 saysAndPings(peer, message);
             }
             sent("noise\n");
-            endsAfter(peer.say("noise\n"));
+            endsAfter(peer.send("noise\n"));
         }
         WireRecording.check("platform/collector-stream.out", transcript.toString());
     }
 
-    private void says(Place.Peer peer, String text, int answers) throws IOException {
+    private void says(ServerHarness.Peer peer, String text, int answers) throws IOException {
         sent(text);
-        peer.say(text);
+        peer.send(text);
         for (int i = 0; i < answers; i++) {
-            received(peer.line());
+            received(peer.readLine());
         }
     }
 
     /** Later updates are passed over: when they come depends on the clock. */
-    private void saysAndPings(Place.Peer peer, String message) throws IOException {
+    private void saysAndPings(ServerHarness.Peer peer, String message) throws IOException {
         sent(message + PING);
-        peer.say(message + PING);
-        received(peer.until("pong"));
+        peer.send(message + PING);
+        received(peer.readUntil("pong"));
     }
 
-    private void endsAfter(Place.Peer peer) throws IOException {
-        String line = peer.line();
+    private void endsAfter(ServerHarness.Peer peer) throws IOException {
+        String line = peer.readLine();
         while (line != null && line.startsWith(UPDATE)) {
-            line = peer.line();
+            line = peer.readLine();
         }
         received(line);
     }
@@ -191,34 +191,37 @@
     /** The watch from a known revision, and anew from none after a list that cannot be read. */
     @Test
     void requestsToDiscovery() throws Exception {
-        try (Place place = new Place(folder);
+        try (ServerHarness place = new ServerHarness(folder);
                 ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             discovery.setSoTimeout(WAIT_MS);
-            place.posting("127.0.0.1:" + discovery.getLocalPort());
-            place.readsAgain();
-            answersWatch(discovery, Place.list(42, false, Place.entry("s-2", "draining")));
+            place.writeConfig("127.0.0.1:" + discovery.getLocalPort());
+            place.reloadConfig();
+            answersWatch(
+                    discovery,
+                    ServerHarness.list(42, false, ServerHarness.entry("s-2", "draining")));
             answersWatch(discovery, "{\"rev\":\"x\"}");
-            answersWatch(discovery, Place.list(50, true, Place.entry("s-3", "ready")));
-            answersWatch(discovery, Place.list(51, false));
+            answersWatch(
+                    discovery, ServerHarness.list(50, true, ServerHarness.entry("s-3", "ready")));
+            answersWatch(discovery, ServerHarness.list(51, false));
         }
         WireRecording.check("platform/discovery-requests.out", transcript.toString());
     }
 
     /** Writes a request down, answers it with one line, and ends the connection. */
     private void answersWatch(ServerSocket discovery, String list) throws IOException {
-        try (Place.Peer watch = new Place.Peer(discovery.accept())) {
+        try (ServerHarness.Peer watch = new ServerHarness.Peer(discovery.accept())) {
             transcript.append(requestHead(watch));
-            watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            watch.say(Place.chunk(list) + "0\r\n\r\n");
+            watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            watch.send(ServerHarness.chunk(list) + "0\r\n\r\n");
         }
     }
 
     /** Lines up to the empty one; their carriage returns are shown. */
-    private static String requestHead(Place.Peer peer) throws IOException {
+    private static String requestHead(ServerHarness.Peer peer) throws IOException {
         StringBuilder head = new StringBuilder();
         String line;
         do {
-            line = peer.line();
+            line = peer.readLine();
             head.append(String.valueOf(line).replace("\r", "\\r")).append('\n');
         } while (line != null && !line.equals("\r"));
         return head.toString();
@@ -236,21 +239,21 @@
     /** The whole request of a probe that is not answered, up to the end of the connection. */
     private void probes(boolean reports) throws Exception {
         CountDownLatch told = new CountDownLatch(1);
-        try (Loop loop = Loop.started("probes");
+        try (EventLoop loop = EventLoop.start("probes");
                 ServerSocket endpoint = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             endpoint.setSoTimeout(WAIT_MS);
-            Probes probes =
-                    new Probes(
+            HealthChecker probes =
+                    new HealthChecker(
                             loop,
                             reports,
                             200,
-                            new Report("cpu_share"),
+                            new LoadReportParser("cpu_share"),
                             (id, answer, load) -> told.countDown());
-            Named named = new Named(1, "s-1");
-            named.at =
+            DiscoveredEndpoint named = new DiscoveredEndpoint(1, "s-1");
+            named.address =
                     new InetSocketAddress(
                             InetAddress.getLoopbackAddress(), endpoint.getLocalPort());
-            loop.hand(() -> probes.ask(named));
+            loop.tryExecute(() -> probes.check(named));
             try (Socket socket = endpoint.accept()) {
                 socket.setSoTimeout(WAIT_MS);
                 ByteArrayOutputStream request = new ByteArrayOutputStream();
--- a/src/test/java/sprucelanding/platform/Place.java
+++ b/src/test/java/sprucelanding/runtime/server/ServerHarness.java
@@ -1,4 +1,4 @@
-package sprucelanding.platform;
+package sprucelanding.runtime.server;
 
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
@@ -23,41 +23,41 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import sprucelanding.loop.Loop;
+import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
  * A governor in service on loopback, with a discovery of the test's making. Waits are long; they
  * end early where all is well.
  */
-final class Place implements Closeable {
-    private static final int WAIT = 15_000;
+final class ServerHarness implements Closeable {
+    private static final int TIMEOUT_MILLIS = 15_000;
 
     /** One end of a connection, read by lines. */
     static final class Peer implements Closeable {
         final Socket socket;
-        private final InputStream in;
+        private final InputStream input;
 
         Peer(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(WAIT);
-            in = socket.getInputStream();
+            socket.setSoTimeout(TIMEOUT_MILLIS);
+            input = socket.getInputStream();
         }
 
-        Peer say(String text) throws IOException {
+        Peer send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             socket.getOutputStream().flush();
             return this;
         }
 
         /** The next line; null once the other side has closed. */
-        String line() throws IOException {
+        String readLine() throws IOException {
             ByteArrayOutputStream line = new ByteArrayOutputStream();
             try {
-                for (int b = in.read(); b >= 0; b = in.read()) {
-                    if (b == '\n') {
+                for (int next = input.read(); next >= 0; next = input.read()) {
+                    if (next == '\n') {
                         return line.toString(StandardCharsets.UTF_8);
                     }
-                    line.write(b);
+                    line.write(next);
                 }
             } catch (SocketTimeoutException e) {
                 throw new AssertionError("nothing came", e);
@@ -68,8 +68,8 @@
         }
 
         /** Lines up to one that holds the text. */
-        String until(String text) throws IOException {
-            for (String line = line(); line != null; line = line()) {
+        String readUntil(String text) throws IOException {
+            for (String line = readLine(); line != null; line = readLine()) {
                 if (line.contains(text)) {
                     return line;
                 }
@@ -78,9 +78,9 @@
         }
 
         /** Whether it was told refused, or closed, and nothing else. */
-        boolean sentAway() throws IOException {
-            String line = line();
-            return line == null || line.equals("{\"msg\":\"refused\"}") && line() == null;
+        boolean isRejected() throws IOException {
+            String line = readLine();
+            return line == null || line.equals("{\"msg\":\"refused\"}") && readLine() == null;
         }
 
         @Override
@@ -89,41 +89,41 @@
         }
     }
 
-    final Loop loop;
-    final Door door;
-    final Serve.Relay relay = new Serve.Relay();
-    final ByteArrayOutputStream said = new ByteArrayOutputStream();
-    private final Path posting;
+    final EventLoop loop;
+    final ConnectionListener listener;
+    final GovernorServer.ConfigReloader reloader = new GovernorServer.ConfigReloader();
+    final ByteArrayOutputStream logged = new ByteArrayOutputStream();
+    private final Path config;
     private final int port;
     private final int sockets;
     private final List<ServerSocket> servers = new ArrayList<>();
     private final List<Peer> peers = new ArrayList<>();
 
     /** Watches that were dialled: what each asked for, and its connection. */
-    private final BlockingQueue<Object[]> watches = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Object[]> watchRequests = new LinkedBlockingQueue<>();
 
-    Place(Path folder) throws IOException {
+    ServerHarness(Path folder) throws IOException {
         this(folder, 1024);
     }
 
-    Place(Path folder, int sockets) throws IOException {
+    ServerHarness(Path folder, int sockets) throws IOException {
         this.sockets = sockets;
-        posting = folder.resolve("posting.json");
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
+        config = folder.resolve("posting.json");
+        try (ServerSocket portProbe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            port = portProbe.getLocalPort();
         }
-        posting(discovery());
-        PrintStream err = new PrintStream(said, true, StandardCharsets.UTF_8);
-        Said log = new Said(err, Loop::now);
-        loop = new Loop("test", log::failed);
-        door = Serve.open(loop, log, posting, relay);
+        writeConfig(startDiscovery());
+        PrintStream err = new PrintStream(logged, true, StandardCharsets.UTF_8);
+        EventLog eventLog = new EventLog(err, EventLoop::nowMillis);
+        loop = new EventLoop("test", eventLog::logFailure);
+        listener = GovernorServer.start(loop, eventLog, config, reloader);
         Thread thread = new Thread(loop);
         thread.setDaemon(true);
         thread.start();
     }
 
     /** One more discovery; its address. */
-    String discovery() throws IOException {
+    String startDiscovery() throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         servers.add(server);
         Thread thread =
@@ -132,13 +132,13 @@
                             try {
                                 while (true) {
                                     Peer peer = new Peer(server.accept());
-                                    String first = peer.line();
-                                    while (!peer.line().isBlank()) {
+                                    String first = peer.readLine();
+                                    while (!peer.readLine().isBlank()) {
                                         continue;
                                     }
-                                    peer.say(
+                                    peer.send(
                                             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                                    watches.add(
+                                    watchRequests.add(
                                             new Object[] {
                                                 server.getLocalPort() + " " + first, peer
                                             });
@@ -152,9 +152,9 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    void posting(String discovery) throws IOException {
+    void writeConfig(String discovery) throws IOException {
         Files.writeString(
-                posting,
+                config,
                 "{\"name\":\"n0\",\"listen\":\"127.0.0.1:"
                         + port
                         + "\",\"discovery\":\""
@@ -177,17 +177,17 @@
     }
 
     /** As on SIGHUP, and until it is done. */
-    void readsAgain() throws InterruptedException {
+    void reloadConfig() throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        loop.hand(relay::reads);
-        loop.hand(done::countDown);
-        if (!done.await(WAIT, TimeUnit.MILLISECONDS)) {
+        loop.tryExecute(reloader::reload);
+        loop.tryExecute(done::countDown);
+        if (!done.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             throw new AssertionError("the loop stands still");
         }
     }
 
-    void posting(byte[] spoilt) throws IOException {
-        Files.write(posting, spoilt);
+    void writeConfig(byte[] content) throws IOException {
+        Files.write(config, content);
     }
 
     static String entry(String uid, String state) {
@@ -198,11 +198,11 @@
                 + "\",\"capacity_hint\":1.0,\"boot_ms\":0}";
     }
 
-    static String list(int rev, boolean all, String... entries) {
+    static String list(int revision, boolean full, String... entries) {
         return "{\"rev\":"
-                + rev
+                + revision
                 + ",\"all\":"
-                + all
+                + full
                 + ",\"targets\":["
                 + String.join(",", entries)
                 + "]}";
@@ -214,75 +214,79 @@
     }
 
     /** The next watch that is dialled, which must ask for that. */
-    Peer watch(String asks) throws InterruptedException {
-        Object[] next = watches.poll(WAIT, TimeUnit.MILLISECONDS);
-        if (next == null || !((String) next[0]).contains(asks)) {
+    Peer nextWatch(String expectedRequest) throws InterruptedException {
+        Object[] next = watchRequests.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        if (next == null || !((String) next[0]).contains(expectedRequest)) {
             throw new AssertionError(
-                    "a watch for " + asks + ", not " + (next == null ? "none" : next[0]));
+                    "a watch for "
+                            + expectedRequest
+                            + ", not "
+                            + (next == null ? "none" : next[0]));
         }
         return (Peer) next[1];
     }
 
-    Peer dial() throws IOException {
+    Peer connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), WAIT);
+        socket.connect(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MILLIS);
         Peer peer = new Peer(socket);
         peers.add(peer);
         return peer;
     }
 
-    static String joining(int proxy) {
+    static String joinMessage(int proxyId) {
         return "{\"msg\":\"joined\",\"sidecar\":"
-                + proxy
+                + proxyId
                 + ",\"az\":\"a\",\"share\":21.5,\"standing\":true}\n";
     }
 
     /** A proxy's stream that has its table. */
-    Peer stream(int proxy) throws IOException {
-        Peer peer = dial().say(joining(proxy));
-        peer.until("\"full\":true");
+    Peer joinedStream(int proxyId) throws IOException {
+        Peer peer = connect().send(joinMessage(proxyId));
+        peer.readUntil("\"full\":true");
         return peer;
     }
 
     /** Asks on the loop's thread. */
-    <T> T onLoop(Callable<T> what) throws InterruptedException {
-        FutureTask<T> task = new FutureTask<>(what);
-        loop.hand(task);
+    <T> T onLoop(Callable<T> callable) throws InterruptedException {
+        FutureTask<T> task = new FutureTask<>(callable);
+        loop.tryExecute(task);
         try {
-            return task.get(WAIT, TimeUnit.MILLISECONDS);
+            return task.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new AssertionError("the loop did not do it", e);
         }
     }
 
     /** Closes all peers; then no connection, byte or place in a list may be left of any of them. */
-    void nothingIsLeft() throws IOException, InterruptedException {
-        for (Peer each : peers) {
-            each.close();
+    void assertNothingLeft() throws IOException, InterruptedException {
+        for (Peer peer : peers) {
+            peer.close();
         }
-        String left = "";
-        for (int i = 0; i < WAIT / 10; i++) {
-            left = onLoop(door::left);
-            if (left.equals("0 open, 0 bytes, 0 strangers, 0 leaving, 0 streams")) {
+        String summary = "";
+        for (int i = 0; i < TIMEOUT_MILLIS / 10; i++) {
+            summary = onLoop(listener::resourceSummary);
+            if (summary.equals("0 open, 0 bytes, 0 strangers, 0 leaving, 0 streams")) {
                 return;
             }
             Thread.sleep(10);
         }
-        throw new AssertionError(left);
+        throw new AssertionError(summary);
     }
 
-    boolean said(String text) {
-        return said.toString(StandardCharsets.UTF_8).contains(text);
+    boolean hasLogged(String text) {
+        return logged.toString(StandardCharsets.UTF_8).contains(text);
     }
 
     @Override
     public void close() throws IOException {
         loop.close();
-        for (ServerSocket each : servers) {
-            each.close();
+        for (ServerSocket closeable : servers) {
+            closeable.close();
         }
-        for (Peer each : peers) {
-            each.close();
+        for (Peer closeable : peers) {
+            closeable.close();
         }
     }
 }
--- a/src/test/java/sprucelanding/platform/VirtualGovernor.java
+++ b/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
@@ -1,4 +1,4 @@
-package sprucelanding.platform;
+package sprucelanding.runtime.server;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
@@ -8,24 +8,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucelanding.Choice;
-import sprucelanding.Orders;
-import sprucelanding.Product;
-import sprucelanding.Proxy;
-import sprucelanding.Replica;
-import sprucelanding.opening.Opening;
-import sprucelanding.updates.Keeps;
-import sprucelanding.updates.Update;
+import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.decision.Proxy;
+import sprucelanding.control.decision.RequestClass;
+import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.distribution.ProxyUpdate;
+import sprucelanding.control.distribution.TableDistributor;
+import sprucelanding.control.settings.SettingsReader;
 
 /**
  * A governor without sockets on a virtual clock: discovery's lists and the proxies' messages go in,
  * the bytes of the updates go into a transcript. Proxies acknowledge each update at the next step;
  * probes are answered then, too.
  */
-final class VirtualGovernor implements Orders {
+final class VirtualGovernor implements ControllerOutput {
     /** How an endpoint answers a probe. */
     interface Endpoints {
-        Choice.Answer answers(String endpoint);
+        RoutingController.HealthCheckResult answers(String endpoint);
     }
 
     private record Timer(int tag, double at) {}
@@ -44,19 +44,24 @@
                     + "\"queueCap\":3000.0,\"updateCap\":0,\"reloadSpanUs\":10000000,\"transitMaxUs\":700000,"
                     + "\"homeOnly\":[false,false,true]},\"ceilings\":{\"probes\":true}}";
 
-    final Opening opening = new Opening(SETTINGS);
-    final Choice choice = opening.choice(0x5eedL);
-    final Names names = new Names(opening.names("zones"), opening.names("kinds"));
-    final Keeps keeps =
-            new Keeps(opening.names("classes").size(), Replica::doubted, Replica::ready);
-    final Words words = new Words(opening.names("classes"), r -> names.of(r.id).uid);
+    final SettingsReader opening = new SettingsReader(SETTINGS);
+    final RoutingController choice = opening.newController(0x5eedL);
+    final EndpointDirectory names =
+            new EndpointDirectory(opening.names("zones"), opening.names("kinds"));
+    final TableDistributor keeps =
+            new TableDistributor(
+                    opening.names("classes").size(),
+                    Endpoint::mayBeEjectedElsewhere,
+                    Endpoint::isAvailable);
+    final UpdateEncoder words =
+            new UpdateEncoder(opening.names("classes"), endpoint -> names.find(endpoint.id).uid);
     final StringBuilder transcript = new StringBuilder();
 
     /** Objects that orders named, for tests that give orders of their own. */
-    final Map<String, Replica> replicas = new TreeMap<>();
+    final Map<String, Endpoint> replicas = new TreeMap<>();
 
     final Map<Integer, Proxy> proxies = new TreeMap<>();
-    final Map<Integer, Product> products = new TreeMap<>();
+    final Map<Integer, RequestClass> products = new TreeMap<>();
 
     private final Endpoints endpoints;
     private final List<Timer> timers = new ArrayList<>();
@@ -66,43 +71,43 @@
 
     VirtualGovernor(Endpoints endpoints) {
         this.endpoints = endpoints;
-        choice.clock(START_MS);
+        choice.setTime(START_MS);
     }
 
     /** Lets time pass, and what is due by then come in; nothing is decided yet. */
     void passes(double ms) {
         elapsed += ms;
-        choice.clock(START_MS + elapsed);
+        choice.setTime(START_MS + elapsed);
         List<Timer> due = timers.stream().filter(t -> t.at <= START_MS + elapsed).toList();
         timers.removeAll(due);
-        due.forEach(timer -> choice.bell(timer.tag));
-        List.copyOf(acknowledgements).forEach(a -> choice.inForce(a.proxy, a.receipt));
+        due.forEach(timer -> choice.timerFired(timer.tag));
+        List.copyOf(acknowledgements).forEach(a -> choice.acknowledged(a.proxy, a.receipt));
         acknowledgements.clear();
         for (String endpoint : List.copyOf(probed)) {
-            Choice.Answer answer = endpoints.answers(endpoint);
-            double load = answer == Choice.Answer.OK ? 0.5 : Double.NaN;
-            choice.probed(names.of(endpoint).id, answer, load);
+            RoutingController.HealthCheckResult answer = endpoints.answers(endpoint);
+            double load = answer == RoutingController.HealthCheckResult.OK ? 0.5 : Double.NaN;
+            choice.healthCheckCompleted(names.find(endpoint).id, answer, load);
         }
         probed.clear();
     }
 
     void discovery(String list, boolean first) {
         JsonObject told = Json.parse(list).asObject();
-        names.told(told, first, START_MS + elapsed, choice);
+        names.applyList(told, first, START_MS + elapsed, choice);
     }
 
     void joins(int proxy, String zone, double share, boolean bare) {
-        keeps.joined(proxy, bare);
-        choice.joined(proxy, names.zone(zone), share, bare);
+        keeps.proxyJoined(proxy, bare);
+        choice.proxyJoined(proxy, names.zoneIndex(zone), share, bare);
     }
 
     void leaves(int proxy) {
-        keeps.left(proxy);
-        choice.left(proxy);
+        keeps.proxyLeft(proxy);
+        choice.proxyLeft(proxy);
     }
 
-    void reports(String endpoint, int tries, int failed, double answerTime, double load) {
-        choice.met(names.of(endpoint).id, tries, failed, answerTime, load);
+    void reports(String endpoint, int attempts, int failed, double answerTime, double load) {
+        choice.endpointStatsReported(names.find(endpoint).id, attempts, failed, answerTime, load);
     }
 
     /** Decides, and writes down the updates that come of it. */
@@ -115,72 +120,72 @@
 
     /** Ends the moment: writes down each proxy's update. */
     void writes() {
-        words.moment();
+        words.beginBatch();
         keeps.flush(this::write);
     }
 
-    private void write(Update update) {
+    private void write(ProxyUpdate update) {
         transcript.append("at ").append((long) elapsed).append(" ms to proxy ");
-        transcript.append(update.proxy()).append('\n');
-        transcript.append(new String(words.bytes(update), StandardCharsets.UTF_8));
-        if (update.receipt() != Update.NONE) {
-            acknowledgements.add(new Acknowledgement(update.proxy(), update.receipt()));
+        transcript.append(update.proxyId()).append('\n');
+        transcript.append(new String(words.encode(update), StandardCharsets.UTF_8));
+        if (update.acknowledgementId() != ProxyUpdate.NO_ACKNOWLEDGEMENT) {
+            acknowledgements.add(new Acknowledgement(update.proxyId(), update.acknowledgementId()));
         }
     }
 
     @Override
-    public void line(int table, Replica replica, double weight) {
-        replicas.put(names.of(replica.id).uid, replica);
-        keeps.line(table, replica, weight);
+    public void setWeight(int table, Endpoint endpoint, double weight) {
+        replicas.put(names.find(endpoint.id).uid, endpoint);
+        keeps.setWeight(table, endpoint, weight);
     }
 
     @Override
-    public void clear(int table) {
-        keeps.clear(table);
+    public void clearTable(int table) {
+        keeps.clearTable(table);
     }
 
     @Override
-    public void withdraw(Replica replica, boolean out) {
-        keeps.withdraw(replica, out);
+    public void setEjected(Endpoint endpoint, boolean out) {
+        keeps.setEjected(endpoint, out);
     }
 
     @Override
-    public void level(int table, Product product, double letIn, int retry) {
-        products.put(product.index, product);
-        keeps.level(table, product, letIn, retry);
+    public void setAdmission(int table, RequestClass requestClass, double letIn, int retry) {
+        products.put(requestClass.index, requestClass);
+        keeps.setAdmission(table, requestClass, letIn, retry);
     }
 
     @Override
-    public void bind(int table, Proxy proxy, BitSet mask) {
+    public void bindProxy(int table, Proxy proxy, BitSet mask) {
         proxies.put(proxy.id, proxy);
-        keeps.bind(table, proxy, mask);
+        keeps.bindProxy(table, proxy, mask);
     }
 
     @Override
-    public void receipt(int serial) {
-        keeps.receipt(serial);
+    public void requestAcknowledgement(int serial) {
+        keeps.requestAcknowledgement(serial);
     }
 
     @Override
-    public void probe(Replica replica) {
-        String endpoint = names.of(replica.id).uid;
+    public void checkHealth(Endpoint replica) {
+        String endpoint = names.find(replica.id).uid;
         probed.add(endpoint);
         transcript.append("at ").append((long) elapsed).append(" ms probe ");
         transcript.append(endpoint).append('\n');
     }
 
     @Override
-    public void tellPeers(byte[] note) {
+    public void sendToPeers(byte[] note) {
         throw new AssertionError("the platform has no messages between governors");
     }
 
     @Override
-    public void watchList() {
+    public void watchEndpointList() {
         throw new AssertionError("the watch is always open");
     }
 
     @Override
-    public void timer(int tag, double at) {
+    public void setTimer(int tag, double at) {
         timers.add(new Timer(tag, at));
     }
 
--- a/src/test/java/sprucelanding/emulator/RecordedDigest.java
+++ b/src/test/java/sprucelanding/simulation/emulator/RecordedDigest.java
@@ -1,11 +1,11 @@
-package sprucelanding.emulator;
+package sprucelanding.simulation.emulator;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
-import sprucelanding.capture.What;
+import sprucelanding.replay.capture.EventType;
 
 /**
  * Counts and digests the orders of an emulated day. It takes numbers to the last bit, and none of
@@ -30,29 +30,30 @@
     }
 
     /** The count and the digest; to be asked for once, in the end. */
-    String line() {
+    String summary() {
         return count + " " + HexFormat.of().formatHex(digest.digest());
     }
 
     /** Takes an order of a governor, in the life of its so numbered; leaves all else out. */
-    void order(int governor, int life, double at, What what, Object... fields) {
-        int tag = tag(what);
+    void addDecision(
+            int governor, int incarnation, double time, EventType eventType, Object... fields) {
+        int tag = tag(eventType);
         if (tag == 0) {
             return;
         }
         count++;
         put((long) tag);
         put((long) governor);
-        put((long) life);
-        put(at);
+        put((long) incarnation);
+        put(time);
         for (Object field : fields) {
             put(field);
         }
     }
 
     /** Texts of the log are no decision. */
-    private static int tag(What what) {
-        return switch (what) {
+    private static int tag(EventType eventType) {
+        return switch (eventType) {
             case LINE -> 1;
             case CLEAR -> 2;
             case WITHDRAW -> 3;
@@ -70,8 +71,8 @@
     private void put(Object field) {
         if (field instanceof Double number) {
             put(number.doubleValue());
-        } else if (field instanceof Boolean yes) {
-            put(yes ? 1L : 0L);
+        } else if (field instanceof Boolean flag) {
+            put(flag ? 1L : 0L);
         } else if (field instanceof String text) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
             put((long) bytes.length);
--- a/src/test/java/sprucelanding/expect/ExpectTest.java
+++ b/src/test/java/sprucelanding/simulation/expectation/ExpectationCheckerTest.java
@@ -1,16 +1,16 @@
-package sprucelanding.expect;
+package sprucelanding.simulation.expectation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import sprucelanding.day.Script;
-import sprucelanding.emulator.Emulation;
-import sprucelanding.records.Records;
+import sprucelanding.config.records.Records;
+import sprucelanding.simulation.emulator.Emulation;
+import sprucelanding.simulation.scenario.Scenario;
 
 /** What staff expect, of a good fleet and of broken ones. */
-class ExpectTest {
+class ExpectationCheckerTest {
     private static final String FLEET =
             """
             name: "small"
@@ -31,35 +31,36 @@
             troubles: []
             """;
 
-    private static Checker.Outcome check(String kinds, String overlay, String expectations)
-            throws Exception {
+    private static ExpectationChecker.CheckReport check(
+            String kinds, String overlay, String expectations) throws Exception {
         String fleet =
                 "// one slow".equals(overlay)
                         ? FLEET.replace("64, part: 75%", "64, part: 90%")
                                 .replace("64, part: 25%", "64, part: 10%")
                         : FLEET;
-        Script day =
+        Scenario scenario =
                 Records.parse(
                         "day.cue",
                         fleet.replace("KINDS", kinds),
-                        Script.SCHEMA,
-                        Script.DEFINITION,
-                        Script.class);
-        Expectations all =
+                        Scenario.SCHEMA,
+                        Scenario.DEFINITION,
+                        Scenario.class);
+        Expectations parsed =
                 Records.parse(
                         "x.cue",
                         "name: \"x\"\nday: \"day.cue\"\n" + expectations,
                         Expectations.SCHEMA,
                         Expectations.DEFINITION,
                         Expectations.class);
-        return new Checker(
-                        day,
-                        Emulation.stations(day, overlay == null ? null : "over.cue", overlay)
+        return new ExpectationChecker(
+                        scenario,
+                        Emulation.governorConfigs(
+                                        scenario, overlay == null ? null : "over.cue", overlay)
                                 .get(0))
-                .check(all);
+                .check(parsed);
     }
 
-    private static final String USUAL =
+    private static final String GENERAL_EXPECTATIONS =
             """
             expectations: [
                 {name: "drained", events: [{what: "drains"}], expect: "noTraffic", within: 4s},
@@ -70,35 +71,35 @@
             """;
 
     @Test
-    void aGoodFleetMeetsWhatIsExpectedAndTheSameStoryTwiceSaysTheSame() throws Exception {
-        Checker.Outcome once = check("", null, USUAL);
-        assertTrue(once.well(), once.toString());
+    void healthyFleetPassesAndRepeatedChecksAgree() throws Exception {
+        ExpectationChecker.CheckReport once = check("", null, GENERAL_EXPECTATIONS);
+        assertTrue(once.passed(), once.toString());
         assertEquals(8 + 8 + 2 + 8 + 8, once.stories());
-        assertEquals(once, check("", null, USUAL));
+        assertEquals(once, check("", null, GENERAL_EXPECTATIONS));
     }
 
     @Test
-    void whatFailsOnlyAfterACertainNodeDiesIsFoundAndNamed() throws Exception {
+    void failureCausedByOneEndpointIsFoundAndNamed() throws Exception {
         // Valid in form; but with one slow replica sign is left to that one.
-        Checker.Outcome o =
+        ExpectationChecker.CheckReport outcome =
                 check(
                         ", kinds: [\"slow\"]",
                         "// one slow",
                         """
                 expectations: [{name: "any one may die", events: [{what: "dies"}], expect: "aLine", within: 6s}]
                 """);
-        assertEquals(1, o.failed().size(), o.toString());
+        assertEquals(1, outcome.failed().size(), outcome.toString());
         assertTrue(
-                o.failed()
+                outcome.failed()
                         .get("any one may die")
                         .matches(
                                 "sign: a proxy has no line .*; story: 2.0 s later replica \\d dies"),
-                o.toString());
+                outcome.toString());
     }
 
     @Test
-    void aFailureThatNeedsTwoIsSearchedForAndCutToThem() throws Exception {
-        Checker.Outcome o =
+    void failureCausedByTwoEventsIsFoundAndReducedToThem() throws Exception {
+        ExpectationChecker.CheckReport outcome =
                 check(
                         ", kinds: [\"slow\"]",
                         null,
@@ -106,25 +107,25 @@
                 expectations: [{name: "a line", events: [{what: "dies"}], expect: "aLine", within: 6s}]
                 search: {kinds: ["dies", "drains"], depth: 3, most: 400}
                 """);
-        String story = o.failed().get("a line");
-        assertTrue(story != null && story.contains("story found"), o.toString());
+        String story = outcome.failed().get("a line");
+        assertTrue(story != null && story.contains("story found"), outcome.toString());
         assertEquals(2, story.split("later").length - 1, story);
     }
 
     @Test
-    void aSettingThatBreaksTheReturnIsCaughtByItsExpectation() throws Exception {
-        Checker.Outcome o =
+    void settingThatBreaksRecoveryFailsItsExpectation() throws Exception {
+        ExpectationChecker.CheckReport outcome =
                 check(
                         "",
                         "roster: {softRemoval: true, pushed: true}\nprobes: allowed: false",
-                        USUAL);
-        assertTrue(o.failed().containsKey("dead"), o.toString());
-        assertEquals(0, o.bugs());
+                        GENERAL_EXPECTATIONS);
+        assertTrue(outcome.failed().containsKey("dead"), outcome.toString());
+        assertEquals(0, outcome.bugs());
     }
 
     @Test
-    void contradictionsAndWhatNeverAppliesAreTold() throws Exception {
-        Checker.Outcome o =
+    void contradictionsAndInapplicableExpectationsAreReported() throws Exception {
+        ExpectationChecker.CheckReport outcome =
                 check(
                         "",
                         null,
@@ -134,11 +135,11 @@
                     {name: "little north", events: [], expect: "zonePart", zone: "north", atMost: 40%},
                     {name: "nothing struck", events: [{what: "returns"}], expect: "gentle", atMost: 1}]
                 """);
-        assertEquals(1, o.contradictions().size(), o.toString());
+        assertEquals(1, outcome.contradictions().size(), outcome.toString());
         assertTrue(
-                o.contradictions().get(0).contains("most north")
-                        && o.contradictions().get(0).contains("little north"));
-        assertEquals(java.util.List.of("nothing struck"), o.neverApplied());
+                outcome.contradictions().get(0).contains("most north")
+                        && outcome.contradictions().get(0).contains("little north"));
+        assertEquals(java.util.List.of("nothing struck"), outcome.neverApplied());
         String why =
                 assertThrows(
                                 IllegalArgumentException.class,
--- a/src/test/java/sprucelanding/lab/LabTest.java
+++ b/src/test/java/sprucelanding/simulation/experiment/ExperimentTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.lab;
+package sprucelanding.simulation.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,17 +14,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import sprucelanding.day.Script;
-import sprucelanding.records.Invalid;
+import sprucelanding.config.records.InvalidRecordsException;
+import sprucelanding.simulation.scenario.Scenario;
 
 /** Stories of experiments. */
 @Timeout(60)
-class LabTest {
+class ExperimentTest {
     @TempDir private Path folder;
     private Path experiment;
 
     @BeforeEach
-    void writes() throws IOException {
+    void writeExperiment() throws IOException {
         Files.writeString(
                 folder.resolve("day.cue"),
                 """
@@ -56,21 +56,21 @@
     }
 
     @Test
-    void whatWasRunIsNotRunAgainUntilATextChanges() throws Exception {
+    void completedTrialsRunAgainOnlyAfterATextChange() throws Exception {
         Path store = folder.resolve("store");
-        try (Results results = new Results(store)) {
-            assertEquals(6, Lab.read(experiment).run(results, 2, s -> {}));
+        try (ResultStore results = new ResultStore(store)) {
+            assertEquals(6, ExperimentRunner.read(experiment).run(results, 2, s -> {}));
         }
         String first;
-        try (Results results = new Results(store)) {
-            assertEquals(0, Lab.read(experiment).run(results, 2, s -> {}));
-            first = Lab.read(experiment).compare(results);
+        try (ResultStore results = new ResultStore(store)) {
+            assertEquals(0, ExperimentRunner.read(experiment).run(results, 2, s -> {}));
+            first = ExperimentRunner.read(experiment).compare(results);
         }
         Files.writeString(folder.resolve("slow.cue"), "reports: every: 4s\n");
-        try (Results results = new Results(store)) {
-            assertEquals(2, Lab.read(experiment).run(results, 2, s -> {}));
-            assertFalse(first.equals(Lab.read(experiment).compare(results)));
-            assertEquals(8, results.all().size());
+        try (ResultStore results = new ResultStore(store)) {
+            assertEquals(2, ExperimentRunner.read(experiment).run(results, 2, s -> {}));
+            assertFalse(first.equals(ExperimentRunner.read(experiment).compare(results)));
+            assertEquals(8, results.allResults().size());
         }
     }
 
@@ -78,11 +78,11 @@
     void resultsAreTheSameOnOneCoreAndOnMany() throws Exception {
         List<String> both = new ArrayList<>();
         for (int cores : new int[] {1, 6}) {
-            try (Results results = new Results(folder.resolve("store" + cores))) {
-                Lab lab = Lab.read(experiment);
-                lab.run(results, cores, s -> {});
-                both.add(lab.csv(results));
-                lab.charts(results, folder.resolve("charts" + cores));
+            try (ResultStore results = new ResultStore(folder.resolve("store" + cores))) {
+                ExperimentRunner runner = ExperimentRunner.read(experiment);
+                runner.run(results, cores, s -> {});
+                both.add(runner.csv(results));
+                runner.charts(results, folder.resolve("charts" + cores));
             }
         }
         assertEquals(both.get(0), both.get(1));
@@ -91,65 +91,68 @@
     }
 
     @Test
-    void aWrongFieldASettingTwiceAndAnAbsentFileAreNamed() throws IOException {
+    void errorsNameWrongFieldDuplicateSettingAndMissingFile() throws IOException {
         Files.writeString(
                 experiment, "name: \"x\"\ndays: [\"day.cue\"]\nseeds: []\nsettings: [{name: 3}]\n");
         assertTrue(
-                assertThrows(Invalid.class, () -> Lab.read(experiment))
+                assertThrows(InvalidRecordsException.class, () -> ExperimentRunner.read(experiment))
                         .getMessage()
                         .contains("lab.cue:4"));
         Files.writeString(
                 experiment,
                 "name: \"x\"\ndays: [\"day.cue\"]\nseeds: []\nsettings: [{name: \"a\"}, {name: \"a\"}]\n");
         assertTrue(
-                assertThrows(IllegalArgumentException.class, () -> Lab.read(experiment))
+                assertThrows(
+                                IllegalArgumentException.class,
+                                () -> ExperimentRunner.read(experiment))
                         .getMessage()
                         .contains("\"a\""));
         Files.writeString(
                 experiment,
                 "name: \"x\"\ndays: [\"night.cue\"]\nseeds: []\nsettings: [{name: \"a\"}]\n");
         assertTrue(
-                assertThrows(IOException.class, () -> Lab.read(experiment))
+                assertThrows(IOException.class, () -> ExperimentRunner.read(experiment))
                         .getMessage()
                         .contains("night.cue"));
     }
 
     @Test
-    void aDifferenceIsSureOnlyPastItsInterval() {
-        assertTrue(Paired.of(List.of(0.010, 0.012, 0.009, 0.011)).sure());
-        assertFalse(Paired.of(List.of(0.05, -0.04, 0.01, -0.01)).sure());
-        assertFalse(Paired.of(List.of(0.05)).sure());
+    void differenceIsSignificantOnlyBeyondItsConfidenceInterval() {
+        assertTrue(PairedDifference.of(List.of(0.010, 0.012, 0.009, 0.011)).isSignificant());
+        assertFalse(PairedDifference.of(List.of(0.05, -0.04, 0.01, -0.01)).isSignificant());
+        assertFalse(PairedDifference.of(List.of(0.05)).isSignificant());
         // mean 2, standard deviation 1, t of 2 degrees 4.3027: half width 4.3027 / sqrt(3)
-        assertEquals(2.4841, Paired.of(List.of(1.0, 2.0, 3.0)).half(), 1e-3);
+        assertEquals(
+                2.4841, PairedDifference.of(List.of(1.0, 2.0, 3.0)).confidenceHalfWidth(), 1e-3);
     }
 
     @Test
-    void onlyTheTroublesThatMatterAreLeft() {
-        List<Script.Trouble> troubles = new ArrayList<>();
-        for (String what : List.of("crash", "slow", "burst", "hang")) {
-            troubles.add(new Script.Trouble(1000, 8000, what, 0.1, 1, null));
+    void reductionKeepsOnlyRelevantFaults() {
+        List<Scenario.Fault> faults = new ArrayList<>();
+        for (String kind : List.of("crash", "slow", "burst", "hang")) {
+            faults.add(new Scenario.Fault(1000, 8000, kind, 0.1, 1, null));
         }
-        List<Script.Trouble> cut =
-                Hunt.cut(
-                        troubles,
+        List<Scenario.Fault> reduced =
+                FaultSearch.reduce(
+                        faults,
                         0.1,
-                        some ->
-                                some.stream()
+                        candidate ->
+                                candidate.stream()
                                                 .anyMatch(
-                                                        t ->
-                                                                t.what().equals("slow")
-                                                                        && t.lasts() > 5000)
+                                                        fault ->
+                                                                fault.what().equals("slow")
+                                                                        && fault.lasts() > 5000)
                                         ? 0.1
                                         : 0);
-        assertEquals(1, cut.size());
-        assertEquals("slow", cut.get(0).what());
-        assertEquals(8000, cut.get(0).lasts());
+        assertEquals(1, reduced.size());
+        assertEquals("slow", reduced.get(0).what());
+        assertEquals(8000, reduced.get(0).lasts());
     }
 
     @Test
-    void aSearchFindsADayOnWhichTheSettingLoses() throws Exception {
-        String found = Lab.read(experiment).search(4, s -> {});
+    void searchFindsAScenarioWhereTheSettingLoses() throws Exception {
+        String found = ExperimentRunner.read(experiment).search(4, s -> {});
         assertTrue(found.startsWith("// a against c on day.cue: loses 0."), found);
-        assertEquals(found, Lab.read(experiment).search(1, s -> {}));
+        assertEquals(found, ExperimentRunner.read(experiment).search(1, s -> {}));
     }
 }
--- a/src/test/java/sprucelanding/lab/RecordedLabTest.java
+++ b/src/test/java/sprucelanding/simulation/experiment/RecordedLabTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.lab;
+package sprucelanding.simulation.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -26,39 +26,40 @@
     @TempDir private Path folder;
 
     @Test
-    void theExperimentRunAnewIsStoredAsRecorded() throws Exception {
+    void rerunExperimentMatchesTheRecording() throws Exception {
         Path store = folder.resolve("store");
-        Lab lab = Lab.read(Recorded.file("lab/lab.cue"));
-        try (Results results = new Results(store)) {
-            assertEquals(12, lab.run(results, 2, line -> {}));
+        ExperimentRunner runner = ExperimentRunner.read(Recorded.file("lab/lab.cue"));
+        try (ResultStore results = new ResultStore(store)) {
+            assertEquals(12, runner.run(results, 2, line -> {}));
         }
-        if (Recorded.writes()) {
+        if (Recorded.isRecording()) {
             Files.copy(store, Recorded.file(STORE), StandardCopyOption.REPLACE_EXISTING);
         }
-        try (Results results = new Results(store)) {
-            assertTexts(lab, results);
+        try (ResultStore results = new ResultStore(store)) {
+            assertTexts(runner, results);
         }
     }
 
     @Test
-    void theRecordedStoreIsReadInFullAndNothingIsRunAgain() throws Exception {
+    void recordedStoreIsReadInFullWithoutNewRuns() throws Exception {
         Path store = folder.resolve("store");
         Files.copy(Recorded.file(STORE), store);
-        Lab lab = Lab.read(Recorded.file("lab/lab.cue"));
-        try (Results results = new Results(store)) {
-            assertEquals(0, lab.run(results, 2, line -> {}));
-            assertTexts(lab, results);
+        ExperimentRunner runner = ExperimentRunner.read(Recorded.file("lab/lab.cue"));
+        try (ResultStore results = new ResultStore(store)) {
+            assertEquals(0, runner.run(results, 2, line -> {}));
+            assertTexts(runner, results);
         }
     }
 
-    private static void assertTexts(Lab lab, Results results) throws IOException {
+    private static void assertTexts(ExperimentRunner runner, ResultStore results)
+            throws IOException {
         StringBuilder all = new StringBuilder();
-        for (JsonNode result : results.all()) {
+        for (JsonNode result : results.allResults()) {
             all.append(result.toString().replaceFirst("\"tookMs\":[0-9.E]+", "\"tookMs\":0"));
             all.append('\n');
         }
         Recorded.assertText("lab/results.jsonl", all.toString());
-        Recorded.assertText("lab/results.csv", lab.csv(results));
-        Recorded.assertText("lab/comparison.md", lab.compare(results));
+        Recorded.assertText("lab/results.csv", runner.csv(results));
+        Recorded.assertText("lab/comparison.md", runner.compare(results));
     }
 }
--- a/src/test/java/sprucelanding/model/MachineTest.java
+++ b/src/test/java/sprucelanding/simulation/model/EndpointModelTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.model;
+package sprucelanding.simulation.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,40 +8,42 @@
 import org.junit.jupiter.api.Test;
 
 /** What a machine does with its jobs; times are ms of the story. */
-class MachineTest {
+class EndpointModelTest {
     private final List<String> log = new ArrayList<>();
-    private final Machine<String> machine =
-            new Machine<>(
-                    new Machine.Make(2, 1, 3, 1, 0.5, 1000, 10),
-                    new Machine.Ends<>() {
+    private final EndpointModel<String> machine =
+            new EndpointModel<>(
+                    new EndpointModel.Capacity(2, 1, 3, 1, 0.5, 1000, 10),
+                    new EndpointModel.JobListener<>() {
                         @Override
-                        public void began(String job, double now) {
+                        public void onStarted(String job, double now) {
                             log.add(job + " began " + Math.round(now));
                         }
 
                         @Override
-                        public void done(String job, double now) {
+                        public void onCompleted(String job, double now) {
                             log.add(job + " done " + Math.round(now));
                         }
                     });
 
-    private void runs(double from, double to) {
+    private void runUntil(double from, double until) {
         double now = from;
-        for (double next = machine.next(now); next <= to; next = machine.next(now)) {
-            now = next;
+        for (double nextEvent = machine.nextEventAt(now);
+                nextEvent <= until;
+                nextEvent = machine.nextEventAt(now)) {
+            now = nextEvent;
             machine.advance(now);
         }
-        machine.advance(to);
+        machine.advance(until);
     }
 
     @Test
-    void coresAreSharedAndTheFourthWaitsForASlot() {
+    void jobsShareCoresAndExcessJobWaitsForSlot() {
         machine.start(0, 100);
         for (String job : List.of("a", "b", "c", "d")) {
-            machine.enter(job, 20, false, 100);
+            machine.submit(job, 20, false, 100);
         }
-        assertTrue(machine.full());
-        runs(100, 200);
+        assertTrue(machine.isFull());
+        runUntil(100, 200);
         // three share two cores: 30 ms for 20 ms of work; then d is alone
         assertEquals(
                 List.of(
@@ -57,26 +59,28 @@
     }
 
     @Test
-    void aColdOneIsSlowAtFirstAndAHungOneDoesNothing() {
+    void coldEndpointStartsSlowAndHungEndpointMakesNoProgress() {
         machine.start(100, 100);
-        machine.enter("cold", 25, false, 100);
-        runs(100, 145);
-        machine.hangs(true);
-        assertEquals(Double.POSITIVE_INFINITY, machine.next(145));
+        machine.submit("cold", 25, false, 100);
+        runUntil(100, 145);
+        machine.hung(true);
+        assertEquals(Double.POSITIVE_INFINITY, machine.nextEventAt(145));
         machine.advance(900);
-        machine.hangs(false);
-        runs(900, 1000);
+        machine.hung(false);
+        runUntil(900, 1000);
         assertEquals(
-                1, log.stream().filter(l -> l.startsWith("cold done 9")).count(), log.toString());
+                1,
+                log.stream().filter(event -> event.startsWith("cold done 9")).count(),
+                log.toString());
     }
 
     @Test
-    void whatANeighbourTakesIsMissing() {
+    void stolenShareReducesCapacity() {
         machine.start(0, 0.5);
-        machine.taken(0.5);
-        machine.enter("a", 20, false, 1);
-        machine.enter("b", 20, false, 1);
-        runs(1, 100);
+        machine.setStolenShare(0.5);
+        machine.submit("a", 20, false, 1);
+        machine.submit("b", 20, false, 1);
+        runUntil(1, 100);
         assertEquals(List.of("a began 1", "b began 1", "a done 41", "b done 41"), log);
     }
 }
--- a/src/test/java/sprucelanding/day/HandoverTest.java
+++ b/src/test/java/sprucelanding/simulation/scenario/HandoverTest.java
@@ -1,18 +1,18 @@
-package sprucelanding.day;
+package sprucelanding.simulation.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sprucelanding.records.Records;
+import sprucelanding.config.records.Records;
 
 /**
  * Governors as processes that are killed, stopped, paused and cut off while they share a fleet; the
  * rules and the one voice are judged.
  */
 class HandoverTest {
-    private static final String DAY =
+    private static final String SCENARIO =
             """
             name: "short-handover"
             seed: 5
@@ -43,11 +43,23 @@
 
     @Test
     @Timeout(180)
-    void oneVoiceAndAllRulesWhileGovernorsTakeOverFromOneAnother() throws Exception {
-        Script script =
-                Records.parse("handover.cue", DAY, Script.SCHEMA, Script.DEFINITION, Script.class);
-        Day.Outcome outcome =
-                new Day(script, script.lasts(), Day.Tables.governors, null, null, false).play();
+    void eachProxyHasOneGovernorAndAllRulesHoldDuringTakeovers() throws Exception {
+        Scenario scenario =
+                Records.parse(
+                        "handover.cue",
+                        SCENARIO,
+                        Scenario.SCHEMA,
+                        Scenario.DEFINITION,
+                        Scenario.class);
+        ScenarioRunner.ScenarioResult outcome =
+                new ScenarioRunner(
+                                scenario,
+                                scenario.lasts(),
+                                ScenarioRunner.TableSource.governors,
+                                null,
+                                null,
+                                false)
+                        .run();
         assertTrue(outcome.kept(), outcome.table());
         assertEquals(6, outcome.figures().path("rules").size(), outcome.table());
         assertTrue(
--- a/src/test/java/sprucelanding/day/LoadTest.java
+++ b/src/test/java/sprucelanding/simulation/scenario/LoadGeneratorTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.day;
+package sprucelanding.simulation.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,54 +9,62 @@
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sprucelanding.loop.Conn;
-import sprucelanding.loop.Http;
-import sprucelanding.loop.Loop;
-import sprucelanding.records.Records;
+import sprucelanding.config.records.Records;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.HttpParser;
+import sprucelanding.runtime.eventloop.TcpConnection;
 
 /** A proxy that stalls: all that was to come meanwhile waits, and its wait counts. */
-class LoadTest {
+class LoadGeneratorTest {
     @Test
     @Timeout(30)
-    void aStallCountsForAllThatWereToComeInIt() throws Exception {
-        Loop loop = Loop.started("proxy");
+    void latencyCountsEveryRequestDueDuringAStall() throws Exception {
+        EventLoop loop = EventLoop.start("proxy");
         double[] stallEnds = {0};
         int port =
-                loop.port(
+                loop.localPort(
                         loop.listen(
                                 new InetSocketAddress("127.0.0.1", 0),
                                 64,
                                 channel ->
-                                        loop.adopt(
+                                        loop.register(
                                                 channel,
                                                 65_536,
-                                                new Conn.Listener() {
-                                                    private Conn own;
-                                                    private final Http http =
-                                                            new Http(
-                                                                    m ->
-                                                                            loop.at(
+                                                new TcpConnection.Listener() {
+                                                    private TcpConnection own;
+                                                    private final HttpParser http =
+                                                            new HttpParser(
+                                                                    request ->
+                                                                            loop.scheduleAt(
                                                                                     stallEnds[0],
                                                                                     () ->
                                                                                             own
                                                                                                     .write(
-                                                                                                            Http
+                                                                                                            HttpParser
                                                                                                                     .response(
                                                                                                                             200))));
 
                                                     @Override
-                                                    public void received(Conn c, ByteBuffer in)
+                                                    public void onReceived(
+                                                            TcpConnection connection,
+                                                            ByteBuffer input)
                                                             throws IOException {
-                                                        own = c;
-                                                        http.received(in);
+                                                        own = connection;
+                                                        http.parse(input);
                                                     }
 
                                                     @Override
-                                                    public void closed(Conn c, String why) {}
+                                                    public void onClosed(
+                                                            TcpConnection connection,
+                                                            String reason) {}
                                                 })));
-        double begin = Loop.now();
-        loop.hand(() -> loop.at(begin + 500, () -> stallEnds[0] = Loop.now() + 1000));
-        Script script =
+        double startedAt = EventLoop.nowMillis();
+        loop.tryExecute(
+                () ->
+                        loop.scheduleAt(
+                                startedAt + 500,
+                                () -> stallEnds[0] = EventLoop.nowMillis() + 1000));
+        Scenario scenario =
                 Records.parse(
                         "load",
                         """
@@ -74,18 +82,18 @@
                 txns: 200/s
                 troubles: []
                 """,
-                        Script.SCHEMA,
-                        Script.DEFINITION,
-                        Script.class);
+                        Scenario.SCHEMA,
+                        Scenario.DEFINITION,
+                        Scenario.class);
         StringBuilder table = new StringBuilder();
-        Histogram took =
-                new Load(script, List.of(new InetSocketAddress("127.0.0.1", port)), 200)
+        Histogram latencies =
+                new LoadGenerator(scenario, List.of(new InetSocketAddress("127.0.0.1", port)), 200)
                         .run(2000, table)
                         .get(0);
         loop.close();
-        long stalled = took.getTotalCount() - took.getCountBetweenValues(0, 100_000);
+        long stalled = latencies.getTotalCount() - latencies.getCountBetweenValues(0, 100_000);
         // 200 a second come in a second of stall; those of its last tenth wait for less than 100 ms
         assertTrue(stalled > 120, table + "stalled: " + stalled);
-        assertTrue(took.getMaxValue() > 800_000, table.toString());
+        assertTrue(latencies.getMaxValue() > 800_000, table.toString());
     }
 }
--- a/src/test/java/sprucelanding/day/DayTest.java
+++ b/src/test/java/sprucelanding/simulation/scenario/ScenarioTest.java
@@ -1,17 +1,17 @@
-package sprucelanding.day;
+package sprucelanding.simulation.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sprucelanding.records.Records;
+import sprucelanding.config.records.Records;
 
 /**
  * A short bad day on real sockets with governors as processes; only the rules are judged, never the
  * speed.
  */
-class DayTest {
-    private static final String DAY =
+class ScenarioTest {
+    private static final String SCENARIO =
             """
             name: "short"
             seed: 3
@@ -42,11 +42,23 @@
 
     @Test
     @Timeout(120)
-    void allRulesAreKeptOnAShortBadDay() throws Exception {
-        Script script =
-                Records.parse("short.cue", DAY, Script.SCHEMA, Script.DEFINITION, Script.class);
-        Day.Outcome outcome =
-                new Day(script, script.lasts(), Day.Tables.governors, null, null, false).play();
+    void allRulesHoldInAShortScenarioWithManyFaults() throws Exception {
+        Scenario scenario =
+                Records.parse(
+                        "short.cue",
+                        SCENARIO,
+                        Scenario.SCHEMA,
+                        Scenario.DEFINITION,
+                        Scenario.class);
+        ScenarioRunner.ScenarioResult outcome =
+                new ScenarioRunner(
+                                scenario,
+                                scenario.lasts(),
+                                ScenarioRunner.TableSource.governors,
+                                null,
+                                null,
+                                false)
+                        .run();
         assertTrue(outcome.kept(), outcome.table());
         for (String front : new String[] {"xds", "netconf"}) {
             assertTrue(
--- a/src/test/java/sprucelanding/wire/RecordedAdapterTest.java
+++ b/src/test/java/sprucelanding/simulation/simulator/RecordedAdapterTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.wire;
+package sprucelanding.simulation.simulator;
 
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -26,7 +26,7 @@
         ByteArrayOutputStream replies = new ByteArrayOutputStream();
         ByteArrayOutputStream errors = new ByteArrayOutputStream();
         int exitCode =
-                new Adapter(
+                new SimulatorAdapter(
                                 new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                                 replies,
                                 new PrintStream(errors, true, StandardCharsets.UTF_8))
--- a/src/test/java/sprucelanding/wire/WireRecording.java
+++ b/src/test/java/sprucelanding/simulation/simulator/WireRecording.java
@@ -1,4 +1,4 @@
-package sprucelanding.wire;
+package sprucelanding.simulation.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/sprucelanding/soak/FailoverTest.java
+++ b/src/test/java/sprucelanding/simulation/soak/FailoverTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,9 +10,8 @@
 /** Incident 1 with real governor processes on loopback, killed by SIGKILL. */
 class FailoverTest {
     @Test
-    void theGovernorThatInheritsTheFleetDuringAReleaseKeepsTheDrainRule(@TempDir Path folder)
-            throws Exception {
-        Soak.Report report = Soak.run(SoakPlan.failover(1, 5, 200), folder);
+    void takeoverDuringAReleaseKeepsTheDrainRule(@TempDir Path folder) throws Exception {
+        SoakRunner.Report report = SoakRunner.run(SoakPlan.failover(1, 5, 200), folder);
         assertEquals(Map.of(), report.violations(), report.toString());
     }
 }
--- a/src/test/java/sprucelanding/soak/RecordedSoakReportTest.java
+++ b/src/test/java/sprucelanding/simulation/soak/RecordedSoakReportTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -17,17 +17,17 @@
     }
 
     @Test
-    void theReportIsPrintedAsBefore() {
+    void reportTextIsUnchanged() {
         TreeMap<String, Integer> violations = new TreeMap<>();
         assertEquals(
                 "seed 7: no violation, 3 joins, 4 messages, 0 removals counted as late",
-                new Soak.Report(7, violations, List.of(), 3, 4, 0).toString());
+                new SoakRunner.Report(7, violations, List.of(), 3, 4, 0).toString());
         violations.put("DRAIN", 2);
         violations.put("CRASH", 1);
         assertEquals(
                 "seed 7: violations {CRASH=1, DRAIN=2}, 3 joins, 4 messages, 5 removals counted as"
                         + " late\n  DRAIN: x\n  CRASH: y",
-                new Soak.Report(7, violations, List.of("DRAIN: x", "CRASH: y"), 3, 4, 5)
+                new SoakRunner.Report(7, violations, List.of("DRAIN: x", "CRASH: y"), 3, 4, 5)
                         .toString());
     }
 }
--- a/src/test/java/sprucelanding/soak/SoakTest.java
+++ b/src/test/java/sprucelanding/simulation/soak/SoakTest.java
@@ -1,4 +1,4 @@
-package sprucelanding.soak;
+package sprucelanding.simulation.soak;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -15,8 +15,9 @@
 class SoakTest {
     @ParameterizedTest
     @ValueSource(longs = {5, 11})
-    void allRulesAreKept(long seed, @TempDir Path folder) throws Exception {
-        Soak.Report report = Soak.run(SoakPlan.random(seed, 25_000, 5, 300, 500), folder);
+    void randomFaultsBreakNoRule(long seed, @TempDir Path folder) throws Exception {
+        SoakRunner.Report report =
+                SoakRunner.run(SoakPlan.random(seed, 25_000, 5, 300, 500), folder);
         assertEquals(Map.of(), report.violations(), report.toString());
     }
 }
--- a/src/test/java/sprucelanding/rig/Recording.java
+++ b/src/test/java/sprucelanding/testing/Recording.java
@@ -1,4 +1,4 @@
-package sprucelanding.rig;
+package sprucelanding.testing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,7 +20,7 @@
  * hold no names of Java classes, so that they outlive any renaming.
  */
 public final class Recording {
-    private static final boolean WRITES = Boolean.getBoolean("recorded.write");
+    private static final boolean RECORDING_ENABLED = Boolean.getBoolean("recorded.write");
     private static final Path FOLDER = Path.of("src", "test", "resources", "recorded");
     private final Path file;
     private final List<String> lines = new ArrayList<>();
@@ -57,7 +57,7 @@
 
     /** Writes the recording if it is to be written, and fails on any difference from it. */
     public void check() {
-        if (WRITES) {
+        if (RECORDING_ENABLED) {
             write();
         }
         List<String> recorded = read();
