--- /dev/null
+++ b/src/test/java/sprucelanding/testing/ScenarioRig.java
@@ -0,0 +1,253 @@
+package sprucelanding.testing;
+
+import io.envoyproxy.envoy.config.core.v3.Node;
+import io.envoyproxy.envoy.service.discovery.v3.AggregatedDiscoveryServiceGrpc;
+import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryRequest;
+import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryResponse;
+import io.grpc.ManagedChannel;
+import io.grpc.Status;
+import io.grpc.netty.shaded.io.grpc.netty.NettyChannelBuilder;
+import io.grpc.stub.StreamObserver;
+import java.net.InetSocketAddress;
+import java.util.BitSet;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import sprucelanding.control.core.DirectInput;
+import sprucelanding.control.core.GovernorCore;
+import sprucelanding.control.core.InputListener;
+import sprucelanding.control.decision.RequestClass;
+import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.delivery.Delivery;
+import sprucelanding.control.delivery.StreamAdmission;
+import sprucelanding.control.discovery.ListedEndpoint;
+import sprucelanding.control.loadreport.LoadReportAggregator;
+import sprucelanding.front.netconf.DeviceKeys;
+import sprucelanding.front.netconf.NetconfFront;
+import sprucelanding.front.xds.ResourceEncoder;
+import sprucelanding.front.xds.XdsFront;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.governor.Governor;
+import sprucelanding.simulation.loopback.LoopbackPorts;
+import sprucelanding.simulation.loopback.NetworkPartition;
+import sprucelanding.simulation.loopback.SimulatedDiscovery;
+import sprucelanding.simulation.loopback.SimulatedEndpoint;
+import sprucelanding.simulation.model.EndpointModel;
+import sprucelanding.simulation.rules.EventTrace;
+
+/**
+ * A governor in this process with a roster and replicas of its own, for stories told by peers over
+ * sockets.
+ */
+public final class ScenarioRig implements AutoCloseable {
+    public static final List<String> ZONES = List.of("north", "south");
+    public final EventLoop loop = EventLoop.start("stands");
+    public final EventTrace trace = new EventTrace(1_000_000);
+    public final Governor governor;
+    public final XdsFront xds;
+    public final NetconfFront netconf;
+    public final SimulatedDiscovery discovery;
+    public final List<SimulatedEndpoint> endpoints = new java.util.ArrayList<>();
+
+    /** With devices' own keys and pins, a NETCONF front as well; else null. */
+    public ScenarioRig(int endpointCount, int maxPendingStreams, DeviceKeys keys) throws Exception {
+        this(endpointCount, maxPendingStreams, keys, null);
+    }
+
+    /** With fellows it is one of several governors. */
+    public ScenarioRig(
+            int endpointCount, int maxPendingStreams, DeviceKeys keys, Governor.PeerSettings peers)
+            throws Exception {
+        int discoveryPort = LoopbackPorts.findFree();
+        discovery =
+                new SimulatedDiscovery(
+                        loop,
+                        new InetSocketAddress("127.0.0.1", discoveryPort),
+                        ZONES,
+                        List.of("usual"),
+                        trace);
+        for (int i = 0; i < endpointCount; i++) {
+            SimulatedEndpoint endpoint =
+                    new SimulatedEndpoint(
+                            loop,
+                            100 + i,
+                            i % 2,
+                            0,
+                            new InetSocketAddress("127.0.0.1", LoopbackPorts.findFree()),
+                            new EndpointModel.Capacity(2, 1, 8, 32, 0.25, 5000, 400),
+                            List.of("read"),
+                            new NetworkPartition(),
+                            trace,
+                            i);
+            endpoints.add(endpoint);
+            loop.tryExecute(() -> endpoint.start(false));
+        }
+        loop.tryExecute(discovery::start);
+        loop.tryExecute(() -> discovery.scheduleUpdate(endpoints, ListedEndpoint.State.READY, 0));
+        RoutingController controller =
+                GovernorCore.newController(
+                        1,
+                        new RequestClass[] {
+                            new RequestClass(0, true, 1, 800, new BitSet(), new BitSet(), false)
+                        },
+                        2,
+                        RoutingController.AdmissionMode.SHARE);
+        controller.configureEndpointList(true, false, 0.25, 5000);
+        controller.configureChannel(100, 1, 100_000, 0, 10_000);
+        controller.configureReports(true, 500);
+        governor =
+                new Governor(
+                        new Governor.SiteNames(List.of("read"), ZONES, List.of("usual")),
+                        new Governor.DiscoverySettings(
+                                new InetSocketAddress("127.0.0.1", discoveryPort),
+                                null,
+                                true,
+                                null),
+                        new Governor.HealthCheckSettings(true, 400),
+                        false,
+                        peers,
+                        host ->
+                                new GovernorCore(
+                                        host,
+                                        controller,
+                                        new DirectInput(controller),
+                                        InputListener.NONE,
+                                        ZONES,
+                                        List.of("usual"),
+                                        true,
+                                        System.currentTimeMillis() - EventLoop.nowMillis(),
+                                        new Delivery(0, 10_000, 1000, 20_000, 10_000),
+                                        new StreamAdmission(maxPendingStreams, 1000, 20_000),
+                                        new LoadReportAggregator(1, 500, 10_000)));
+        xds =
+                new XdsFront(
+                        governor,
+                        governor,
+                        "here",
+                        new InetSocketAddress("127.0.0.1", 0),
+                        64 * 1024,
+                        500);
+        governor.addFront(xds);
+        netconf =
+                keys == null
+                        ? null
+                        : new NetconfFront(
+                                governor,
+                                governor,
+                                "here",
+                                new InetSocketAddress("127.0.0.1", 0),
+                                keys,
+                                "sprucelanding",
+                                64 * 1024,
+                                new NetconfFront.EditLimits(700, 2000, 3000, 8));
+        if (netconf != null) {
+            governor.addFront(netconf);
+        }
+        governor.start(500);
+        xds.start();
+        if (netconf != null) {
+            netconf.start();
+        }
+    }
+
+    /** A peer that does what the story says, on an aggregated delta stream. */
+    public final class XdsTestClient
+            implements StreamObserver<DeltaDiscoveryResponse>, AutoCloseable {
+        public final BlockingQueue<DeltaDiscoveryResponse> responses = new LinkedBlockingQueue<>();
+        public final BlockingQueue<Status> ended = new LinkedBlockingQueue<>();
+        public final Node node;
+        public final ManagedChannel channel =
+                NettyChannelBuilder.forAddress("127.0.0.1", xds.port()).usePlaintext().build();
+        public final StreamObserver<DeltaDiscoveryRequest> requests =
+                AggregatedDiscoveryServiceGrpc.newStub(channel).deltaAggregatedResources(this);
+
+        public XdsTestClient(String name) {
+            node = Node.newBuilder().setId(name).build();
+        }
+
+        public DeltaDiscoveryRequest.Builder request(String type) {
+            return DeltaDiscoveryRequest.newBuilder().setNode(node).setTypeUrl(type);
+        }
+
+        public void subscribeToAll() {
+            requests.onNext(
+                    request(ResourceEncoder.CDS_TYPE_URL).addResourceNamesSubscribe("*").build());
+            requests.onNext(
+                    request(ResourceEncoder.RDS_TYPE_URL)
+                            .addResourceNamesSubscribe(ResourceEncoder.ROUTE_CONFIG_NAME)
+                            .build());
+            requests.onNext(
+                    request(ResourceEncoder.EDS_TYPE_URL).addResourceNamesSubscribe("t0").build());
+            requests.onNext(
+                    request(ResourceEncoder.LEDS_TYPE_URL)
+                            .addResourceNamesSubscribe(ResourceEncoder.endpointCollection(0))
+                            .build());
+        }
+
+        public DeltaDiscoveryResponse awaitResponse(String type) throws InterruptedException {
+            DeltaDiscoveryResponse response = responses.poll(10, TimeUnit.SECONDS);
+            if (response == null || !response.getTypeUrl().equals(type)) {
+                throw new AssertionError("expected " + type + ", heard " + response);
+            }
+            return response;
+        }
+
+        public void acknowledge(DeltaDiscoveryResponse response) {
+            requests.onNext(
+                    DeltaDiscoveryRequest.newBuilder()
+                            .setTypeUrl(response.getTypeUrl())
+                            .setResponseNonce(response.getNonce())
+                            .build());
+        }
+
+        public void reject(DeltaDiscoveryResponse response) {
+            requests.onNext(
+                    DeltaDiscoveryRequest.newBuilder()
+                            .setTypeUrl(response.getTypeUrl())
+                            .setResponseNonce(response.getNonce())
+                            .setErrorDetail(
+                                    com.google.rpc.Status.newBuilder().setCode(3).setMessage("no"))
+                            .build());
+        }
+
+        /** Accepts all until its route is in force. */
+        public void acceptAll() throws InterruptedException {
+            subscribeToAll();
+            for (String type :
+                    List.of(
+                            ResourceEncoder.CDS_TYPE_URL,
+                            ResourceEncoder.EDS_TYPE_URL,
+                            ResourceEncoder.LEDS_TYPE_URL,
+                            ResourceEncoder.RDS_TYPE_URL)) {
+                acknowledge(awaitResponse(type));
+            }
+        }
+
+        @Override
+        public void onNext(DeltaDiscoveryResponse response) {
+            responses.add(response);
+        }
+
+        @Override
+        public void onError(Throwable failure) {
+            ended.add(Status.fromThrowable(failure));
+        }
+
+        @Override
+        public void onCompleted() {
+            ended.add(Status.OK);
+        }
+
+        @Override
+        public void close() {
+            channel.shutdownNow();
+        }
+    }
+
+    @Override
+    public void close() {
+        governor.close();
+        loop.close();
+    }
+}
