--- a/src/main/java/sprucelanding/config/governor/GovernorComponents.java
+++ b/src/main/java/sprucelanding/config/governor/GovernorComponents.java
@@ -7,6 +7,7 @@
 import sprucelanding.control.core.ControllerInput;
 import sprucelanding.control.core.GovernorCore;
 import sprucelanding.control.core.InputListener;
+import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.delivery.Delivery;
@@ -57,9 +58,7 @@
                         config.seed(),
                         requestClasses,
                         config.zones().size(),
-                        config.admits().equals("rate")
-                                ? RoutingController.AdmissionMode.RATE
-                                : RoutingController.AdmissionMode.SHARE);
+                        config.admits().equals("rate") ? AdmissionMode.RATE : AdmissionMode.SHARE);
         GovernorConfig.ChannelConfig channel = config.channel();
         controller.configureEndpointList(
                 config.roster().pushed(),
--- a/src/main/java/sprucelanding/control/core/ControllerInput.java
+++ b/src/main/java/sprucelanding/control/core/ControllerInput.java
@@ -1,7 +1,8 @@
 package sprucelanding.control.core;
 
 import sprucelanding.control.decision.ControllerOutput;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.EndpointState;
+import sprucelanding.control.decision.HealthCheckResult;
 
 /**
  * What Choice is told, and how it is asked; each call is as Choice has it. One that overhears
@@ -20,14 +21,13 @@
             int machineKind,
             double weight,
             double startedAt,
-            RoutingController.EndpointState state);
+            EndpointState state);
 
     void endpointListCompleted();
 
     void endpointListFailed();
 
-    void healthCheckCompleted(
-            long endpointId, RoutingController.HealthCheckResult result, double load);
+    void healthCheckCompleted(long endpointId, HealthCheckResult result, double load);
 
     void endpointStatsReported(
             long endpointId, int attempts, int failed, double responseMillis, double load);
--- a/src/main/java/sprucelanding/control/core/DirectInput.java
+++ b/src/main/java/sprucelanding/control/core/DirectInput.java
@@ -1,6 +1,8 @@
 package sprucelanding.control.core;
 
 import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.EndpointState;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.RoutingController;
 
 /** Straight to the module. */
@@ -27,7 +29,7 @@
             int machineKind,
             double weight,
             double startedAt,
-            RoutingController.EndpointState state) {
+            EndpointState state) {
         controller.endpointListed(endpointId, zone, machineKind, weight, startedAt, state);
     }
 
@@ -42,8 +44,7 @@
     }
 
     @Override
-    public void healthCheckCompleted(
-            long endpointId, RoutingController.HealthCheckResult result, double load) {
+    public void healthCheckCompleted(long endpointId, HealthCheckResult result, double load) {
         controller.healthCheckCompleted(endpointId, result, load);
     }
 
--- a/src/main/java/sprucelanding/control/core/GovernorCore.java
+++ b/src/main/java/sprucelanding/control/core/GovernorCore.java
@@ -8,8 +8,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
+import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.decision.EndpointState;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.Proxy;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
@@ -161,10 +164,7 @@
 
     /** Seeded, so that the same events give the same orders. */
     public static RoutingController newController(
-            long seed,
-            RequestClass[] requestClasses,
-            int zoneCount,
-            RoutingController.AdmissionMode admissionMode) {
+            long seed, RequestClass[] requestClasses, int zoneCount, AdmissionMode admissionMode) {
         return new RoutingController(
                 new SplittableRandom(seed), requestClasses, zoneCount, admissionMode);
     }
@@ -244,9 +244,9 @@
                     endpoint.weight(),
                     endpoint.startedAt() == 0 ? 0 : endpoint.startedAt() - wallOffset,
                     switch (endpoint.state()) {
-                        case READY -> RoutingController.EndpointState.AVAILABLE;
-                        case DRAINING -> RoutingController.EndpointState.DRAINING;
-                        case GONE -> RoutingController.EndpointState.GONE;
+                        case READY -> EndpointState.AVAILABLE;
+                        case DRAINING -> EndpointState.DRAINING;
+                        case GONE -> EndpointState.GONE;
                     });
         }
         input.endpointListCompleted();
@@ -274,8 +274,7 @@
         }
     }
 
-    public void healthCheckCompleted(
-            long endpointId, RoutingController.HealthCheckResult result, double load) {
+    public void healthCheckCompleted(long endpointId, HealthCheckResult result, double load) {
         input.setTime(host.now());
         input.healthCheckCompleted(endpointId, result, load);
     }
@@ -380,9 +379,7 @@
             runUntilIdle(() -> input.decide(outputHandler));
             while (!uncheckedEndpoints.isEmpty()) {
                 input.healthCheckCompleted(
-                        uncheckedEndpoints.poll(),
-                        RoutingController.HealthCheckResult.NOT_PERFORMED,
-                        Double.NaN);
+                        uncheckedEndpoints.poll(), HealthCheckResult.NOT_PERFORMED, Double.NaN);
                 acknowledgementReceived = true;
             }
             if (batchHasOrders) {
--- a/src/main/java/sprucelanding/control/decision/Endpoint.java
+++ b/src/main/java/sprucelanding/control/decision/Endpoint.java
@@ -10,7 +10,7 @@
     /** ms on the host's clock; 0 if long past. */
     double startedAt;
 
-    RoutingController.EndpointState state = RoutingController.EndpointState.GONE;
+    EndpointState state = EndpointState.GONE;
 
     /** When it was last listed, if it no longer is. */
     double removedAt = Double.NEGATIVE_INFINITY;
@@ -94,8 +94,7 @@
     }
 
     boolean isListed() {
-        return state == RoutingController.EndpointState.AVAILABLE
-                || state == RoutingController.EndpointState.MISSING;
+        return state == EndpointState.AVAILABLE || state == EndpointState.MISSING;
     }
 
     void updateListing(int zone, int kind, double weight, double startedAt) {
--- a/src/main/java/sprucelanding/control/decision/RoutingController.java
+++ b/src/main/java/sprucelanding/control/decision/RoutingController.java
@@ -14,31 +14,6 @@
  * past a threshold, removals first. Times: ms.
  */
 public final class RoutingController {
-    /**
-     * Missing: dropped from the list without a word of draining, where that alone does not bind.
-     */
-    public enum EndpointState {
-        AVAILABLE,
-        MISSING,
-        DRAINING,
-        GONE
-    }
-
-    public enum HealthCheckResult {
-        OK,
-        BUSY,
-        ERROR,
-        TIMED_OUT,
-        UNREACHABLE,
-        NOT_PERFORMED
-    }
-
-    public enum AdmissionMode {
-        SHARE,
-        RATE,
-        NONE
-    }
-
     /** The timer of the periodic turn. */
     private static final int PERIODIC_UPDATE_TIMER = 1;
 
--- a/src/main/java/sprucelanding/control/settings/SettingsReader.java
+++ b/src/main/java/sprucelanding/control/settings/SettingsReader.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
+import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
 
@@ -108,9 +109,9 @@
                         requestClasses(family),
                         names("zones").size(),
                         switch (family.getString("admit", "none")) {
-                            case "share" -> RoutingController.AdmissionMode.SHARE;
-                            case "rate" -> RoutingController.AdmissionMode.RATE;
-                            default -> RoutingController.AdmissionMode.NONE;
+                            case "share" -> AdmissionMode.SHARE;
+                            case "rate" -> AdmissionMode.RATE;
+                            default -> AdmissionMode.NONE;
                         });
         controller.configureEndpointList(
                 root.getString("membershipMode", "pushed").equals("pushed"),
--- a/src/main/java/sprucelanding/replay/capture/DecisionReplay.java
+++ b/src/main/java/sprucelanding/replay/capture/DecisionReplay.java
@@ -5,7 +5,8 @@
 import java.util.List;
 import sprucelanding.control.core.ControllerInput;
 import sprucelanding.control.decision.ControllerOutput;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.EndpointState;
+import sprucelanding.control.decision.HealthCheckResult;
 
 /**
  * Decides again: give it the events one by one, and it tells the module what it was told then, asks
@@ -14,10 +15,8 @@
  */
 public final class DecisionReplay {
     private static final int CONTEXT_EVENTS = 12;
-    private static final RoutingController.EndpointState[] ENDPOINT_STATES =
-            RoutingController.EndpointState.values();
-    private static final RoutingController.HealthCheckResult[] HEALTH_CHECK_RESULTS =
-            RoutingController.HealthCheckResult.values();
+    private static final EndpointState[] ENDPOINT_STATES = EndpointState.values();
+    private static final HealthCheckResult[] HEALTH_CHECK_RESULTS = HealthCheckResult.values();
     private static final ControllerOutput DISCARDING_OUTPUT =
             (ControllerOutput)
                     java.lang.reflect.Proxy.newProxyInstance(
--- a/src/main/java/sprucelanding/replay/capture/RecordingInput.java
+++ b/src/main/java/sprucelanding/replay/capture/RecordingInput.java
@@ -6,9 +6,10 @@
 import sprucelanding.control.core.InputListener;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.decision.EndpointState;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.Proxy;
 import sprucelanding.control.decision.RequestClass;
-import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.delivery.ResourceUpdate;
 import sprucelanding.control.discovery.ListedEndpoint;
 import sprucelanding.control.loadreport.LoadReport;
@@ -55,12 +56,7 @@
 
     @Override
     public void endpointListed(
-            long id,
-            int zone,
-            int type,
-            double weight,
-            double startedAt,
-            RoutingController.EndpointState state) {
+            long id, int zone, int type, double weight, double startedAt, EndpointState state) {
         append(EventType.LISTED, id, zone, type, weight, startedAt, state.ordinal());
         controller.endpointListed(id, zone, type, weight, startedAt, state);
     }
@@ -78,8 +74,7 @@
     }
 
     @Override
-    public void healthCheckCompleted(
-            long id, RoutingController.HealthCheckResult result, double load) {
+    public void healthCheckCompleted(long id, HealthCheckResult result, double load) {
         append(EventType.PROBED, id, result.ordinal(), load);
         controller.healthCheckCompleted(id, result, load);
     }
--- a/src/main/java/sprucelanding/replay/estimate/EndpointRecord.java
+++ b/src/main/java/sprucelanding/replay/estimate/EndpointRecord.java
@@ -1,12 +1,7 @@
 package sprucelanding.replay.estimate;
 
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.EndpointState;
 
 /** A replica as governors were told, ms of the day; startedAt is 0 if long past. */
 public record EndpointRecord(
-        double at,
-        long endpointId,
-        int zone,
-        int type,
-        RoutingController.EndpointState state,
-        double startedAt) {}
+        double at, long endpointId, int zone, int type, EndpointState state, double startedAt) {}
--- a/src/main/java/sprucelanding/replay/estimate/FleetEstimator.java
+++ b/src/main/java/sprucelanding/replay/estimate/FleetEstimator.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.EndpointState;
 import sprucelanding.replay.capture.CaptureEvent;
 
 /**
@@ -143,7 +143,7 @@
                                 event.longAt(0),
                                 event.intAt(1),
                                 event.intAt(2),
-                                RoutingController.EndpointState.values()[event.intAt(5)],
+                                EndpointState.values()[event.intAt(5)],
                                 event.doubleAt(4));
                 EndpointRecord previous = lastRecordByEndpoint.put(current.endpointId(), current);
                 if (previous == null
@@ -676,8 +676,7 @@
                                             record ->
                                                     record.endpointId() == endpointId
                                                             && record.state()
-                                                                    != RoutingController
-                                                                            .EndpointState.AVAILABLE
+                                                                    != EndpointState.AVAILABLE
                                                             && Math.abs(record.at() - silentFrom)
                                                                     < 4 * WINDOW_MILLIS);
                     if (!leftTheList && !isPartitioned(from)) {
--- a/src/main/java/sprucelanding/runtime/governor/Governor.java
+++ b/src/main/java/sprucelanding/runtime/governor/Governor.java
@@ -15,7 +15,7 @@
 import org.slf4j.spi.LoggingEventBuilder;
 import sprucelanding.control.core.GovernorCore;
 import sprucelanding.control.core.SharedGovernorCore;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.delivery.ProxyStream;
 import sprucelanding.control.delivery.ResourceName;
 import sprucelanding.control.delivery.ResourceType;
@@ -346,8 +346,7 @@
         }
 
         @Override
-        public void healthCheckCompleted(
-                long endpointId, RoutingController.HealthCheckResult result, double load) {
+        public void healthCheckCompleted(long endpointId, HealthCheckResult result, double load) {
             core.healthCheckCompleted(endpointId, result, load);
         }
 
--- a/src/main/java/sprucelanding/runtime/governor/HealthCheck.java
+++ b/src/main/java/sprucelanding/runtime/governor/HealthCheck.java
@@ -1,7 +1,7 @@
 package sprucelanding.runtime.governor;
 
 import java.net.InetSocketAddress;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.runtime.eventloop.HttpGet;
 import sprucelanding.runtime.eventloop.HttpParser;
@@ -11,8 +11,7 @@
 final class HealthCheck implements HttpGet.ResponseHandler {
     /** Told the answer once; the load is a share of its cores, NaN if it told none. */
     interface ResultListener {
-        void healthCheckCompleted(
-                long endpointId, RoutingController.HealthCheckResult result, double load);
+        void healthCheckCompleted(long endpointId, HealthCheckResult result, double load);
     }
 
     private final long endpointId;
@@ -32,12 +31,12 @@
 
     @Override
     public void onResponse(HttpParser.Message response) {
-        RoutingController.HealthCheckResult result =
+        HealthCheckResult result =
                 response.status() == 200
-                        ? RoutingController.HealthCheckResult.OK
+                        ? HealthCheckResult.OK
                         : response.status() == 429 || response.status() == 503
-                                ? RoutingController.HealthCheckResult.BUSY
-                                : RoutingController.HealthCheckResult.ERROR;
+                                ? HealthCheckResult.BUSY
+                                : HealthCheckResult.ERROR;
         listener.healthCheckCompleted(
                 endpointId, result, cpuUtilization(response.header("endpoint-load-metrics")));
     }
@@ -47,10 +46,8 @@
         listener.healthCheckCompleted(
                 endpointId,
                 timedOut
-                        ? RoutingController.HealthCheckResult.TIMED_OUT
-                        : connected
-                                ? RoutingController.HealthCheckResult.ERROR
-                                : RoutingController.HealthCheckResult.UNREACHABLE,
+                        ? HealthCheckResult.TIMED_OUT
+                        : connected ? HealthCheckResult.ERROR : HealthCheckResult.UNREACHABLE,
                 Double.NaN);
     }
 
--- a/src/main/java/sprucelanding/runtime/server/DiscoveredEndpoint.java
+++ b/src/main/java/sprucelanding/runtime/server/DiscoveredEndpoint.java
@@ -1,14 +1,14 @@
 package sprucelanding.runtime.server;
 
 import java.net.InetSocketAddress;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.EndpointState;
 
 /** A replica as discovery names it. */
 final class DiscoveredEndpoint {
     final long id;
     final String uid;
     InetSocketAddress address;
-    RoutingController.EndpointState state = RoutingController.EndpointState.GONE;
+    EndpointState state = EndpointState.GONE;
 
     /** When it was told to be gone, ms on the module's clock. */
     double goneAtMillis;
--- a/src/main/java/sprucelanding/runtime/server/EndpointDirectory.java
+++ b/src/main/java/sprucelanding/runtime/server/EndpointDirectory.java
@@ -12,6 +12,7 @@
 import java.util.Set;
 import java.util.function.LongPredicate;
 import sprucelanding.control.decision.BootClock;
+import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.settings.MalformedInputException;
 
@@ -61,9 +62,7 @@
     int readyCount() {
         return (int)
                 endpointsByUid.values().stream()
-                        .filter(
-                                endpoint ->
-                                        endpoint.state == RoutingController.EndpointState.AVAILABLE)
+                        .filter(endpoint -> endpoint.state == EndpointState.AVAILABLE)
                         .count();
     }
 
@@ -112,8 +111,7 @@
         boolean replacesAll = full.asBoolean() && complete;
         controller.endpointListStarted(replacesAll, fromLastRun);
         for (DiscoveredEndpoint endpoint : parsed) {
-            endpoint.goneAtMillis =
-                    endpoint.state == RoutingController.EndpointState.GONE ? nowMillis : 0;
+            endpoint.goneAtMillis = endpoint.state == EndpointState.GONE ? nowMillis : 0;
             controller.endpointListed(
                     endpoint.id,
                     endpoint.zone,
@@ -127,11 +125,11 @@
             endpointsByUid.values().stream()
                     .filter(
                             endpoint ->
-                                    endpoint.state != RoutingController.EndpointState.GONE
+                                    endpoint.state != EndpointState.GONE
                                             && !parsed.contains(endpoint))
                     .forEach(
                             endpoint -> {
-                                endpoint.state = RoutingController.EndpointState.GONE;
+                                endpoint.state = EndpointState.GONE;
                                 endpoint.goneAtMillis = nowMillis;
                             });
         }
@@ -167,7 +165,7 @@
                 .values()
                 .removeIf(
                         endpoint ->
-                                endpoint.state == RoutingController.EndpointState.GONE
+                                endpoint.state == EndpointState.GONE
                                         && nowMillis - endpoint.goneAtMillis > GONE_RETENTION_MILLIS
                                         && !isInTable.test(endpoint.id));
         return endpointsByUid
@@ -185,11 +183,11 @@
                 || !state.isString()) {
             return null;
         }
-        RoutingController.EndpointState endpointState =
+        EndpointState endpointState =
                 switch (state.asString()) {
-                    case "ready" -> RoutingController.EndpointState.AVAILABLE;
-                    case "draining" -> RoutingController.EndpointState.DRAINING;
-                    case "gone" -> RoutingController.EndpointState.GONE;
+                    case "ready" -> EndpointState.AVAILABLE;
+                    case "draining" -> EndpointState.DRAINING;
+                    case "gone" -> EndpointState.GONE;
                     default -> null;
                 };
         DiscoveredEndpoint known = endpointsByUid.get(uid.asString());
@@ -209,7 +207,7 @@
                         && (weightValue == null
                                 || weightValue.isNumber() && weightValue.asDouble() >= 0);
         if (!valid) {
-            if (endpointState == RoutingController.EndpointState.GONE
+            if (endpointState == EndpointState.GONE
                     && known != null) { // of one that is gone, the name says all
                 known.state = endpointState;
                 return known;
--- a/src/main/java/sprucelanding/runtime/server/HealthChecker.java
+++ b/src/main/java/sprucelanding/runtime/server/HealthChecker.java
@@ -1,7 +1,7 @@
 package sprucelanding.runtime.server;
 
 import java.net.InetSocketAddress;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.runtime.eventloop.HttpGet;
 import sprucelanding.runtime.eventloop.HttpParser;
@@ -10,7 +10,7 @@
 final class HealthChecker {
     /** Told the answer once; load: NaN if none was told. */
     interface ResultListener {
-        void onResult(long endpointId, RoutingController.HealthCheckResult result, double load);
+        void onResult(long endpointId, HealthCheckResult result, double load);
     }
 
     private static final double RESPONSE_TIMEOUT_MILLIS =
@@ -60,10 +60,10 @@
                         inFlight--;
                         deliver(
                                 response.status() == 200
-                                        ? RoutingController.HealthCheckResult.OK
+                                        ? HealthCheckResult.OK
                                         : response.status() == 503
-                                                ? RoutingController.HealthCheckResult.BUSY
-                                                : RoutingController.HealthCheckResult.ERROR,
+                                                ? HealthCheckResult.BUSY
+                                                : HealthCheckResult.ERROR,
                                 reportParser.load(response.body()));
                     }
 
@@ -72,27 +72,25 @@
                         inFlight--;
                         deliver(
                                 timedOut
-                                        ? RoutingController.HealthCheckResult.TIMED_OUT
-                                        : RoutingController.HealthCheckResult.UNREACHABLE,
+                                        ? HealthCheckResult.TIMED_OUT
+                                        : HealthCheckResult.UNREACHABLE,
                                 Double.NaN);
                     }
 
                     @Override
                     public void onNotSent() {
                         inFlight--;
-                        deliver(RoutingController.HealthCheckResult.NOT_PERFORMED, Double.NaN);
+                        deliver(HealthCheckResult.NOT_PERFORMED, Double.NaN);
                     }
 
                     /** Of another process that has the name by now, it tells nothing. */
-                    private void deliver(RoutingController.HealthCheckResult result, double load) {
+                    private void deliver(HealthCheckResult result, double load) {
                         boolean sameProcess =
                                 endpoint.startedAtMillis == startedAtMillis
                                         && endpoint.address.equals(address);
                         resultListener.onResult(
                                 endpoint.id,
-                                sameProcess
-                                        ? result
-                                        : RoutingController.HealthCheckResult.NOT_PERFORMED,
+                                sameProcess ? result : HealthCheckResult.NOT_PERFORMED,
                                 sameProcess ? load : Double.NaN);
                     }
                 });
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedGovernor.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedGovernor.java
@@ -11,6 +11,7 @@
 import sprucelanding.control.core.GovernorCore;
 import sprucelanding.control.core.InputListener;
 import sprucelanding.control.core.SharedGovernorCore;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.delivery.ProxyStream;
 import sprucelanding.control.delivery.ResourceUpdate;
@@ -298,7 +299,7 @@
         boolean[] finished = new boolean[1];
         EmulatedEndpoint.ResponseListener listener =
                 new EmulatedEndpoint.ResponseListener() {
-                    private void done(RoutingController.HealthCheckResult answer, double load) {
+                    private void done(HealthCheckResult answer, double load) {
                         if (!finished[0]) {
                             finished[0] = true;
                             if (startedIncarnation == incarnation) {
@@ -314,15 +315,13 @@
                     @Override
                     public void onResponse(int status, boolean notExecuted, double utilization) {
                         done(
-                                status < 0
-                                        ? RoutingController.HealthCheckResult.TIMED_OUT
-                                        : RoutingController.HealthCheckResult.OK,
+                                status < 0 ? HealthCheckResult.TIMED_OUT : HealthCheckResult.OK,
                                 utilization);
                     }
 
                     @Override
                     public void onConnectionBroken() {
-                        done(RoutingController.HealthCheckResult.UNREACHABLE, Double.NaN);
+                        done(HealthCheckResult.UNREACHABLE, Double.NaN);
                     }
                 };
         world.clock.scheduleAfter(
--- a/src/main/java/sprucelanding/simulation/emulator/ScenarioReplay.java
+++ b/src/main/java/sprucelanding/simulation/emulator/ScenarioReplay.java
@@ -16,7 +16,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import sprucelanding.config.governor.GovernorConfig;
 import sprucelanding.config.records.InvalidRecordsException;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.discovery.ListedEndpoint;
 import sprucelanding.replay.capture.Capture;
 import sprucelanding.replay.capture.CaptureEvent;
@@ -298,7 +298,7 @@
                                             default -> ListedEndpoint.State.GONE;
                                         },
                                         0));
-                if (record.state() == RoutingController.EndpointState.GONE
+                if (record.state() == EndpointState.GONE
                         && fleet.faults().stream()
                                 .noneMatch(
                                         interval ->
--- a/src/main/java/sprucelanding/simulation/expectation/TrafficFlow.java
+++ b/src/main/java/sprucelanding/simulation/expectation/TrafficFlow.java
@@ -12,6 +12,7 @@
 import sprucelanding.control.core.DirectInput;
 import sprucelanding.control.core.GovernorCore;
 import sprucelanding.control.core.InputListener;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.delivery.ProxyStream;
 import sprucelanding.control.delivery.ResourceName;
@@ -470,9 +471,7 @@
                 () ->
                         core.healthCheckCompleted(
                                 endpoint.id,
-                                endpoint.up
-                                        ? RoutingController.HealthCheckResult.OK
-                                        : RoutingController.HealthCheckResult.UNREACHABLE,
+                                endpoint.up ? HealthCheckResult.OK : HealthCheckResult.UNREACHABLE,
                                 endpoint.up ? endpoint.utilization : Double.NaN));
     }
 
--- a/src/main/java/sprucelanding/simulation/simulator/SimulatorAdapter.java
+++ b/src/main/java/sprucelanding/simulation/simulator/SimulatorAdapter.java
@@ -10,6 +10,8 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import sprucelanding.control.decision.EndpointState;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.settings.MalformedInputException;
 import sprucelanding.control.settings.SettingsReader;
@@ -231,11 +233,11 @@
         }
         controller.endpointListStarted(!form.equals("delta"), form.equals("cached"));
         for (SimulatorMessage item : items) {
-            RoutingController.EndpointState state =
+            EndpointState state =
                     switch (item.text(6)) {
-                        case "U" -> RoutingController.EndpointState.AVAILABLE;
-                        case "L" -> RoutingController.EndpointState.DRAINING;
-                        case "D" -> RoutingController.EndpointState.GONE;
+                        case "U" -> EndpointState.AVAILABLE;
+                        case "L" -> EndpointState.DRAINING;
+                        case "D" -> EndpointState.GONE;
                         default ->
                                 throw new MalformedInputException(
                                         "ITEM of unknown state " + item.text(6));
@@ -251,14 +253,14 @@
         controller.endpointListCompleted();
     }
 
-    private static RoutingController.HealthCheckResult healthCheckResult(int statusCode) {
+    private static HealthCheckResult healthCheckResult(int statusCode) {
         return switch (statusCode) {
-            case 200 -> RoutingController.HealthCheckResult.OK;
-            case 429 -> RoutingController.HealthCheckResult.BUSY;
-            case 502 -> RoutingController.HealthCheckResult.ERROR;
-            case 408 -> RoutingController.HealthCheckResult.TIMED_OUT;
-            case 521, 520 -> RoutingController.HealthCheckResult.UNREACHABLE;
-            default -> RoutingController.HealthCheckResult.NOT_PERFORMED;
+            case 200 -> HealthCheckResult.OK;
+            case 429 -> HealthCheckResult.BUSY;
+            case 502 -> HealthCheckResult.ERROR;
+            case 408 -> HealthCheckResult.TIMED_OUT;
+            case 521, 520 -> HealthCheckResult.UNREACHABLE;
+            default -> HealthCheckResult.NOT_PERFORMED;
         };
     }
 }
--- a/src/test/java/sprucelanding/control/core/GovernorCoreTest.java
+++ b/src/test/java/sprucelanding/control/core/GovernorCoreTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
+import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.delivery.Delivery;
@@ -62,7 +63,7 @@
                             new RequestClass(0, true, 1, 800, new BitSet(), new BitSet(), false)
                         },
                         1,
-                        RoutingController.AdmissionMode.SHARE);
+                        AdmissionMode.SHARE);
         controller.configureEndpointList(true, false, 0.25, 5000);
         controller.configureChannel(100, 1, 100_000, 0, 10_000);
         controller.configureReports(false, 500);
--- a/src/test/java/sprucelanding/control/decision/FailoverDecisionsTest.java
+++ b/src/test/java/sprucelanding/control/decision/FailoverDecisionsTest.java
@@ -22,7 +22,7 @@
     private static FakeControllerHost calmGovernor(int messageCap) {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
+                        AdmissionMode.SHARE,
                         messageCap,
                         FakeControllerHost.requestClass(0, true, 1),
                         FakeControllerHost.requestClass(1, false, 2));
@@ -48,8 +48,7 @@
     private static void drain(FakeControllerHost host, long from, long to) {
         host.controller.endpointListStarted(false, false);
         for (long id = from; id <= to; id++) {
-            host.controller.endpointListed(
-                    id, (int) (id % 3), 0, 1, 0, RoutingController.EndpointState.DRAINING);
+            host.controller.endpointListed(id, (int) (id % 3), 0, 1, 0, EndpointState.DRAINING);
         }
         host.controller.endpointListCompleted();
         host.settle();
@@ -188,20 +187,18 @@
     void aProxyThatCannotBeBoundYetHoldsUpNobodyElsesOrders() {
         BitSet homeOnly = new BitSet();
         RequestClass requestClass = new RequestClass(0, true, 1, 800, new BitSet(), homeOnly, true);
-        FakeControllerHost host =
-                new FakeControllerHost(RoutingController.AdmissionMode.SHARE, 0, requestClass);
+        FakeControllerHost host = new FakeControllerHost(AdmissionMode.SHARE, 0, requestClass);
         host.controller.configureEndpointList(true, false, 0.2, 16_000);
         host.controller.configureFleet(FLEET, 5, GRACE, TRANSIT);
         host.controller.endpointListStarted(true, true);
         for (long id = 1; id <= 12; id++) { // none is in zone 2
-            host.controller.endpointListed(
-                    id, (int) (id % 2), 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+            host.controller.endpointListed(id, (int) (id % 2), 0, 1, 0, EndpointState.AVAILABLE);
         }
         host.controller.endpointListCompleted();
         host.controller.proxyJoined(1, 0, 10, true);
         host.settle();
         host.run(3, () -> reports(host));
-        host.changeEndpoint(1, 0, RoutingController.EndpointState.DRAINING);
+        host.changeEndpoint(1, 0, EndpointState.DRAINING);
         host.controller.proxyJoined(2, 2, 10, false); // nothing in its zone to bind it to
         host.run(2, () -> reports(host));
         host.orders.clear();
@@ -218,7 +215,7 @@
     @Test
     void oneThatIsFirstHeardOfAsItLeavesIsWithdrawnFromThoseThatJoinLater() {
         FakeControllerHost host = FakeControllerHost.ordinary(8);
-        host.changeEndpoint(50, 0, RoutingController.EndpointState.DRAINING);
+        host.changeEndpoint(50, 0, EndpointState.DRAINING);
         host.controller.proxyJoined(7, 0, 10, false);
         host.run(2, () -> reports(host));
         assertTrue(host.orders.contains("bar 50"), "its tables may hold it: " + host.orders);
--- a/src/test/java/sprucelanding/control/decision/FakeControllerHost.java
+++ b/src/test/java/sprucelanding/control/decision/FakeControllerHost.java
@@ -27,7 +27,7 @@
     final TreeMap<Double, List<Integer>> timers = new TreeMap<>();
 
     /** Replicas whose probes get this answer; all others answer well. */
-    final Map<Long, RoutingController.HealthCheckResult> failingChecks = new LinkedHashMap<>();
+    final Map<Long, HealthCheckResult> failingChecks = new LinkedHashMap<>();
 
     /**
      * Whether receipts come: those of the message before, each time, from every proxy that it went
@@ -44,10 +44,7 @@
     private double lastMessageTime;
     double now = 1_000_000;
 
-    FakeControllerHost(
-            RoutingController.AdmissionMode admission,
-            int messageCap,
-            RequestClass... requestClasses) {
+    FakeControllerHost(AdmissionMode admission, int messageCap, RequestClass... requestClasses) {
         controller = new RoutingController(new SplittableRandom(7), requestClasses, 3, admission);
         controller.configureChannel(3, 6, 5000, messageCap, 10_000);
         controller.configureReports(true, 1000);
@@ -65,7 +62,7 @@
     static FakeControllerHost ordinary(int n) {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
+                        AdmissionMode.SHARE,
                         0,
                         requestClass(0, true, 1),
                         requestClass(1, false, 2));
@@ -80,7 +77,7 @@
     static FakeControllerHost large(boolean drains, int replicas, int proxies) {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
+                        AdmissionMode.SHARE,
                         0,
                         requestClass(0, true, 1),
                         requestClass(1, false, 2));
@@ -97,13 +94,12 @@
     void listEndpoints(boolean first, int n) {
         controller.endpointListStarted(true, first);
         for (int id = 1; id <= n; id++) {
-            controller.endpointListed(
-                    id, id % 3, 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+            controller.endpointListed(id, id % 3, 0, 1, 0, EndpointState.AVAILABLE);
         }
         controller.endpointListCompleted();
     }
 
-    void changeEndpoint(long id, double startedAt, RoutingController.EndpointState stage) {
+    void changeEndpoint(long id, double startedAt, EndpointState stage) {
         controller.endpointListStarted(false, false);
         controller.endpointListed(id, (int) (id % 3), 0, 1, startedAt, stage);
         controller.endpointListCompleted();
@@ -144,8 +140,7 @@
         List<Long> asked = List.copyOf(pendingChecks);
         pendingChecks.clear();
         for (long id : asked) {
-            RoutingController.HealthCheckResult answer =
-                    failingChecks.getOrDefault(id, RoutingController.HealthCheckResult.OK);
+            HealthCheckResult answer = failingChecks.getOrDefault(id, HealthCheckResult.OK);
             controller.healthCheckCompleted(id, answer, Double.NaN);
         }
         settle();
--- a/src/test/java/sprucelanding/control/decision/RoutingControllerTest.java
+++ b/src/test/java/sprucelanding/control/decision/RoutingControllerTest.java
@@ -53,8 +53,7 @@
                     host.controller.endpointStatsReported(77, 1, 0, 1, 1);
                     host.controller.demandReported(9, 5, 1, 1000);
                     host.controller.demandReported(9, 0, -1, -1000);
-                    host.controller.healthCheckCompleted(
-                            78, RoutingController.HealthCheckResult.OK, 0.5);
+                    host.controller.healthCheckCompleted(78, HealthCheckResult.OK, 0.5);
                 });
         assertTrue(host.weight(1) > 0);
     }
@@ -62,10 +61,10 @@
     @Test
     void drainingAndGoneReplicasLeaveAtOnce() {
         FakeControllerHost host = FakeControllerHost.ordinary(4);
-        host.changeEndpoint(1, 0, RoutingController.EndpointState.DRAINING);
+        host.changeEndpoint(1, 0, EndpointState.DRAINING);
         assertEquals(0, host.weight(1));
         host.controller.endpointListStarted(true, false);
-        host.controller.endpointListed(3, 0, 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+        host.controller.endpointListed(3, 0, 0, 1, 0, EndpointState.AVAILABLE);
         host.controller.endpointListCompleted();
         host.settle();
         assertEquals(0, host.weight(2));
@@ -77,7 +76,7 @@
         FakeControllerHost host = FakeControllerHost.ordinary(6);
         host.run(5, () -> well(host, 6, 0.5, 10));
         double before = host.weight(1);
-        host.changeEndpoint(1, host.now, RoutingController.EndpointState.AVAILABLE);
+        host.changeEndpoint(1, host.now, EndpointState.AVAILABLE);
         assertTrue(host.weight(1) <= before / 8);
         host.run(2, () -> well(host, 6, 0.5, 10));
         assertTrue(host.weight(1) <= before / 3);
@@ -87,7 +86,7 @@
     void refusedProbesTakeOneOutAndTwoAnswersBringItBackAtATenth() {
         FakeControllerHost host = FakeControllerHost.ordinary(6);
         host.run(3, () -> well(host, 6, 0.5, 10));
-        host.failingChecks.put(2L, RoutingController.HealthCheckResult.UNREACHABLE);
+        host.failingChecks.put(2L, HealthCheckResult.UNREACHABLE);
         host.run(2, () -> well(host, 6, 0.5, 10));
         assertEquals(0, host.weight(2));
         host.failingChecks.clear();
@@ -100,7 +99,7 @@
         FakeControllerHost host = FakeControllerHost.ordinary(9);
         host.run(3, () -> well(host, 9, 0.73, 10));
         for (long id = 1; id <= 9; id += 3) {
-            host.failingChecks.put(id, RoutingController.HealthCheckResult.TIMED_OUT);
+            host.failingChecks.put(id, HealthCheckResult.TIMED_OUT);
         }
         host.run(3, () -> well(host, 9, 0.73, 10));
         assertEquals(0, host.weight(1) + host.weight(4) + host.weight(7));
@@ -112,7 +111,7 @@
         FakeControllerHost host = FakeControllerHost.ordinary(9);
         host.run(3, () -> well(host, 9, 0.7, 10));
         for (long id : new long[] {1, 2, 3, 4, 5}) {
-            host.failingChecks.put(id, RoutingController.HealthCheckResult.TIMED_OUT);
+            host.failingChecks.put(id, HealthCheckResult.TIMED_OUT);
         }
         host.run(6, () -> well(host, 9, Double.NaN, 10));
         for (long id = 1; id <= 9; id++) {
@@ -124,7 +123,7 @@
     void whenNobodyAnswersAQuarterStays() {
         FakeControllerHost host = FakeControllerHost.ordinary(8);
         for (long id = 1; id <= 8; id++) {
-            host.failingChecks.put(id, RoutingController.HealthCheckResult.UNREACHABLE);
+            host.failingChecks.put(id, HealthCheckResult.UNREACHABLE);
         }
         host.run(10, () -> {});
         assertTrue(host.tables.get(0).values().stream().filter(w -> w > 0).count() >= 2);
@@ -134,11 +133,11 @@
     @Test
     void theLastListedReplicaComesBackWhenTheOthersDrain() {
         FakeControllerHost host = FakeControllerHost.ordinary(3);
-        host.failingChecks.put(1L, RoutingController.HealthCheckResult.UNREACHABLE);
+        host.failingChecks.put(1L, HealthCheckResult.UNREACHABLE);
         host.run(4, () -> {});
         assertEquals(0, host.weight(1));
-        host.changeEndpoint(2, 0, RoutingController.EndpointState.DRAINING);
-        host.changeEndpoint(3, 0, RoutingController.EndpointState.DRAINING);
+        host.changeEndpoint(2, 0, EndpointState.DRAINING);
+        host.changeEndpoint(3, 0, EndpointState.DRAINING);
         assertTrue(host.weight(1) > 0);
         assertTrue(host.logged("back to the list"));
     }
@@ -189,9 +188,7 @@
     void aRateSparesProxiesWithLittle() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.RATE,
-                        0,
-                        FakeControllerHost.requestClass(0, true, 1));
+                        AdmissionMode.RATE, 0, FakeControllerHost.requestClass(0, true, 1));
         host.controller.configureEndpointList(true, false, 0.2, 16_000);
         host.listEndpoints(true, 4);
         host.controller.proxyJoined(1, 0, 90, true);
@@ -220,9 +217,7 @@
     private static FakeControllerHost capped() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
-                        12,
-                        FakeControllerHost.requestClass(0, true, 1));
+                        AdmissionMode.SHARE, 12, FakeControllerHost.requestClass(0, true, 1));
         host.controller.configureEndpointList(true, false, 0.2, 16_000);
         host.listEndpoints(true, 9);
         host.controller.proxyJoined(9, 0, 100, true);
@@ -236,13 +231,8 @@
             host.now += 250;
             host.controller.setTime(host.now);
             host.changeEndpoint(
-                    9,
-                    0,
-                    i % 2 == 0
-                            ? RoutingController.EndpointState.DRAINING
-                            : RoutingController.EndpointState.AVAILABLE);
-            host.controller.healthCheckCompleted(
-                    9, RoutingController.HealthCheckResult.OK, Double.NaN);
+                    9, 0, i % 2 == 0 ? EndpointState.DRAINING : EndpointState.AVAILABLE);
+            host.controller.healthCheckCompleted(9, HealthCheckResult.OK, Double.NaN);
             host.controller.timerFired(1);
             host.settle();
         }
@@ -252,9 +242,7 @@
     void aListThatMustBeAskedIsAskedAgainAfterAFailure() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.NONE,
-                        0,
-                        FakeControllerHost.requestClass(0, true, 1));
+                        AdmissionMode.NONE, 0, FakeControllerHost.requestClass(0, true, 1));
         host.controller.configureEndpointList(false, false, 0.2, 16_000);
         host.listEndpoints(true, 3);
         host.settle();
@@ -268,7 +256,7 @@
     void aProductOpenToFewHasItsTableAndTheOthersLeaveRoom() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
+                        AdmissionMode.SHARE,
                         0,
                         FakeControllerHost.requestClass(0, true, 1),
                         new RequestClass(
@@ -282,8 +270,7 @@
         host.controller.configureEndpointList(true, false, 0.2, 16_000);
         host.controller.endpointListStarted(true, true);
         for (long id = 1; id <= 6; id++) {
-            host.controller.endpointListed(
-                    id, 0, id <= 3 ? 1 : 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+            host.controller.endpointListed(id, 0, id <= 3 ? 1 : 0, 1, 0, EndpointState.AVAILABLE);
         }
         host.controller.endpointListCompleted();
         host.controller.proxyJoined(9, 0, 100, true);
@@ -298,14 +285,11 @@
     void aGovernorThatStartsAnewEasesInWhatJustStarted() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
-                        0,
-                        FakeControllerHost.requestClass(0, true, 1));
+                        AdmissionMode.SHARE, 0, FakeControllerHost.requestClass(0, true, 1));
         host.controller.configureEndpointList(true, false, 0.2, 16_000);
         host.controller.endpointListStarted(true, true);
-        host.controller.endpointListed(
-                1, 0, 0, 1, host.now - 10_000, RoutingController.EndpointState.AVAILABLE);
-        host.controller.endpointListed(2, 0, 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+        host.controller.endpointListed(1, 0, 0, 1, host.now - 10_000, EndpointState.AVAILABLE);
+        host.controller.endpointListed(2, 0, 0, 1, 0, EndpointState.AVAILABLE);
         host.controller.endpointListCompleted();
         host.controller.proxyJoined(9, 0, 100, true);
         host.settle();
@@ -316,9 +300,7 @@
     void aGovernorThatStartsAnewLooksBeforeItTakesOverTheProxies() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
-                        0,
-                        FakeControllerHost.requestClass(0, true, 1));
+                        AdmissionMode.SHARE, 0, FakeControllerHost.requestClass(0, true, 1));
         host.controller.configureEndpointList(true, false, 0.2, 16_000);
         host.listEndpoints(true, 4);
         host.controller.proxyJoined(5, 0, 100, false);
@@ -342,7 +324,7 @@
                         host.controller.endpointStatsReported(id, 20, 12, 700, 1);
                     }
                 });
-        host.changeEndpoint(1, host.now, RoutingController.EndpointState.AVAILABLE);
+        host.changeEndpoint(1, host.now, EndpointState.AVAILABLE);
         assertEquals(0, host.weight(1));
         host.run(6, () -> well(host, 6, 0.5, 10));
         assertTrue(host.weight(1) > 0);
@@ -356,7 +338,7 @@
         FakeControllerHost host = FakeControllerHost.ordinary(6);
         host.controller.proxyJoined(10, 0, 5, true);
         host.run(5, () -> well(host, 6, 0.5, 10));
-        host.changeEndpoint(1, host.now, RoutingController.EndpointState.AVAILABLE);
+        host.changeEndpoint(1, host.now, EndpointState.AVAILABLE);
         host.run(
                 3,
                 () -> {
@@ -370,7 +352,7 @@
     void aReplicaThatStartedStartsAtWhatItCanDoAndOneThatWasOutAtATenth() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
+                        AdmissionMode.SHARE,
                         0,
                         FakeControllerHost.requestClass(0, true, 1),
                         FakeControllerHost.requestClass(1, false, 2));
@@ -379,7 +361,7 @@
         host.controller.proxyJoined(9, 0, 100, true);
         host.settle();
         host.run(5, () -> well(host, 6, 0.5, 10));
-        host.changeEndpoint(1, host.now, RoutingController.EndpointState.AVAILABLE);
+        host.changeEndpoint(1, host.now, EndpointState.AVAILABLE);
         host.run(2, () -> well(host, 6, 0.5, 10));
         assertTrue(
                 host.weight(1) > 0.7 * host.weight(2),
@@ -403,7 +385,7 @@
     void whatComesAsOthersLeaveIsForeseenToo() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
+                        AdmissionMode.SHARE,
                         0,
                         FakeControllerHost.requestClass(0, true, 1),
                         FakeControllerHost.requestClass(1, false, 2));
@@ -413,12 +395,12 @@
         host.settle();
         host.run(8, () -> well(host, 8, 0.65, 10));
         for (long id = 9; id <= 13; id++) {
-            host.changeEndpoint(id, host.now - 2000, RoutingController.EndpointState.AVAILABLE);
+            host.changeEndpoint(id, host.now - 2000, EndpointState.AVAILABLE);
         }
         host.run(2, () -> well(host, 8, 0.65, 10));
         assertTrue(host.weight(13) > 0);
         for (long id = 1; id <= 5; id++) {
-            host.changeEndpoint(id, 0, RoutingController.EndpointState.DRAINING);
+            host.changeEndpoint(id, 0, EndpointState.DRAINING);
         }
         host.run(3, () -> well(host, 13, 0.65, 10));
         assertFalse(host.logged("declining"), host.log.toString());
@@ -446,7 +428,7 @@
         FakeControllerHost host = FakeControllerHost.ordinary(9);
         host.run(3, () -> well(host, 9, 0.5, 10));
         for (long id : new long[] {1, 2, 4, 5, 7, 8}) {
-            host.failingChecks.put(id, RoutingController.HealthCheckResult.TIMED_OUT);
+            host.failingChecks.put(id, HealthCheckResult.TIMED_OUT);
         }
         host.run(3, () -> well(host, 9, 0.5, 10));
         assertEquals(0, host.weight(1) + host.weight(5) + host.weight(8));
@@ -459,8 +441,7 @@
         host.run(6, () -> well(host, 8, 0.65, 10));
         for (long id = 1; id <= 4; id++) {
             host.controller.endpointListStarted(false, false);
-            host.controller.endpointListed(
-                    id, (int) (id % 3), 0, 1, 0, RoutingController.EndpointState.DRAINING);
+            host.controller.endpointListed(id, (int) (id % 3), 0, 1, 0, EndpointState.DRAINING);
             host.controller.endpointListCompleted();
         }
         host.run(2, () -> well(host, 8, 0.65, 10));
@@ -474,8 +455,7 @@
                 12,
                 () -> {
                     for (long id = 1; id <= 6; id++) {
-                        host.controller.healthCheckCompleted(
-                                id, RoutingController.HealthCheckResult.OK, 0.4);
+                        host.controller.healthCheckCompleted(id, HealthCheckResult.OK, 0.4);
                     }
                     well(host, 6, 0.99, 10);
                 });
@@ -487,7 +467,7 @@
         FakeControllerHost host = FakeControllerHost.ordinary(6);
         host.run(5, () -> well(host, 6, 0.5, 10));
         for (long id = 1; id <= 4; id++) {
-            host.changeEndpoint(id, host.now - 1, RoutingController.EndpointState.AVAILABLE);
+            host.changeEndpoint(id, host.now - 1, EndpointState.AVAILABLE);
         }
         host.run(
                 3,
@@ -518,15 +498,14 @@
         host.controller.configureEndpointList(true, true, 0.2, 16_000);
         host.run(5, () -> well(host, 6, 0.5, 10));
         if (silent > 0) {
-            host.failingChecks.put(silent, RoutingController.HealthCheckResult.UNREACHABLE);
+            host.failingChecks.put(silent, HealthCheckResult.UNREACHABLE);
         }
         if (draining > 0) {
-            host.changeEndpoint(draining, 0, RoutingController.EndpointState.DRAINING);
+            host.changeEndpoint(draining, 0, EndpointState.DRAINING);
         }
         host.controller.endpointListStarted(true, false);
         for (long id = 4; id <= 6; id++) {
-            host.controller.endpointListed(
-                    id, (int) (id % 3), 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+            host.controller.endpointListed(id, (int) (id % 3), 0, 1, 0, EndpointState.AVAILABLE);
         }
         host.controller.endpointListCompleted();
         host.run(4, () -> well(host, 6, 0.5, 10));
@@ -544,9 +523,9 @@
     @Test
     void aStrangerOnTheListGetsNoLineBeforeItAnswers() {
         FakeControllerHost host = FakeControllerHost.ordinary(6);
-        host.failingChecks.put(7L, RoutingController.HealthCheckResult.ERROR);
-        host.changeEndpoint(7, 0, RoutingController.EndpointState.AVAILABLE);
-        host.changeEndpoint(8, 0, RoutingController.EndpointState.AVAILABLE);
+        host.failingChecks.put(7L, HealthCheckResult.ERROR);
+        host.changeEndpoint(7, 0, EndpointState.AVAILABLE);
+        host.changeEndpoint(8, 0, EndpointState.AVAILABLE);
         host.run(4, () -> well(host, 6, 0.5, 10));
         assertEquals(0, host.weight(7));
         assertTrue(host.weight(8) > 0);
@@ -559,14 +538,14 @@
         assertTrue(host.boundClassesByProxy.size() < 100);
         host.controller.endpointListStarted(false, false);
         for (long id = 1; id <= 6; id++) {
-            host.controller.endpointListed(id, 0, 0, 1, 0, RoutingController.EndpointState.GONE);
+            host.controller.endpointListed(id, 0, 0, 1, 0, EndpointState.GONE);
         }
         host.controller.endpointListCompleted();
         host.settle();
         for (long id = 1; id <= 6; id++) {
             assertTrue(host.orders.contains("bar " + id), "for those not yet bound as well: " + id);
         }
-        host.changeEndpoint(1, host.now, RoutingController.EndpointState.AVAILABLE);
+        host.changeEndpoint(1, host.now, EndpointState.AVAILABLE);
         assertTrue(host.orders.contains("lift 1"));
     }
 
@@ -601,7 +580,7 @@
                     }
                 };
         host.run(12, uneven);
-        host.changeEndpoint(21, host.now - 1000, RoutingController.EndpointState.AVAILABLE);
+        host.changeEndpoint(21, host.now - 1000, EndpointState.AVAILABLE);
         host.run(3, uneven);
         assertTrue(host.weight(21) > 0, "five seconds without the order of ranks");
     }
@@ -636,7 +615,7 @@
         int still = 0;
         for (int second = 0; second < 30; second++) {
             int before = host.messages;
-            host.changeEndpoint(10 + second, 0, RoutingController.EndpointState.AVAILABLE);
+            host.changeEndpoint(10 + second, 0, EndpointState.AVAILABLE);
             host.run(1, () -> well(host, 9, 0.5, 10));
             still = host.messages == before ? still + 1 : 0;
             longest = Math.max(longest, still);
@@ -652,12 +631,11 @@
             kinds.set(k);
             requestClasses[k] = new RequestClass(k, true, 1, 800, kinds, new BitSet(), false);
         }
-        FakeControllerHost host =
-                new FakeControllerHost(RoutingController.AdmissionMode.SHARE, 0, requestClasses);
+        FakeControllerHost host = new FakeControllerHost(AdmissionMode.SHARE, 0, requestClasses);
         host.controller.configureEndpointList(true, false, 0.2, 16_000);
         host.controller.endpointListStarted(true, true);
-        host.controller.endpointListed(1, 68, 5, 1, 0, RoutingController.EndpointState.AVAILABLE);
-        host.controller.endpointListed(2, 69, 69, 1, 0, RoutingController.EndpointState.AVAILABLE);
+        host.controller.endpointListed(1, 68, 5, 1, 0, EndpointState.AVAILABLE);
+        host.controller.endpointListed(2, 69, 69, 1, 0, EndpointState.AVAILABLE);
         host.controller.endpointListCompleted();
         host.controller.proxyJoined(9, 68, 100, true);
         host.settle();
@@ -674,16 +652,8 @@
         host.controller.endpointListStarted(false, false);
         for (long id = 1; id <= 40; id++) {
             host.controller.endpointListed(
-                    id,
-                    0,
-                    0,
-                    1,
-                    0,
-                    id <= 38
-                            ? RoutingController.EndpointState.GONE
-                            : RoutingController.EndpointState.AVAILABLE);
-            host.controller.endpointListed(
-                    id + 40, 0, 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+                    id, 0, 0, 1, 0, id <= 38 ? EndpointState.GONE : EndpointState.AVAILABLE);
+            host.controller.endpointListed(id + 40, 0, 0, 1, 0, EndpointState.AVAILABLE);
         }
         host.controller.endpointListCompleted();
         host.run(3, () -> well(host, 80, 0.5, 10));
@@ -697,7 +667,7 @@
         host.run(3, () -> well(host, 6, 0.5, 10));
         int back = 0;
         for (int turn = 0; turn < 5; turn++) {
-            host.failingChecks.put(2L, RoutingController.HealthCheckResult.UNREACHABLE);
+            host.failingChecks.put(2L, HealthCheckResult.UNREACHABLE);
             host.run(3, () -> well(host, 5, 0.5, 10));
             host.failingChecks.clear();
             host.run(6, () -> well(host, 5, 0.5, 10));
@@ -710,7 +680,7 @@
     void proxiesThatJoinAfterAWithdrawalGetItAnew() {
         FakeControllerHost host = FakeControllerHost.large(true, 20, 100);
         host.run(3, () -> well(host, 20, 0.5, 10));
-        host.changeEndpoint(3, 0, RoutingController.EndpointState.GONE);
+        host.changeEndpoint(3, 0, EndpointState.GONE);
         host.run(1, () -> well(host, 20, 0.5, 10));
         host.orders.clear();
         for (int id = 100; id < 180; id++) { // another governor died: its proxies hold its tables
@@ -718,7 +688,7 @@
         }
         host.settle();
         assertTrue(host.orders.contains("bar 3"), "withdrawn for those that joined");
-        host.changeEndpoint(3, host.now, RoutingController.EndpointState.AVAILABLE);
+        host.changeEndpoint(3, host.now, EndpointState.AVAILABLE);
         host.run(2, () -> well(host, 20, 0.5, 10));
         assertTrue(host.orders.contains("lift 3"), "and let back in when it is listed again");
     }
@@ -727,8 +697,8 @@
     void replicasLongGoneAreForgotten() {
         FakeControllerHost host = FakeControllerHost.ordinary(6);
         for (long id = 7; id < 107; id++) {
-            host.changeEndpoint(id, host.now, RoutingController.EndpointState.AVAILABLE);
-            host.changeEndpoint(id - 6, 0, RoutingController.EndpointState.GONE);
+            host.changeEndpoint(id, host.now, EndpointState.AVAILABLE);
+            host.changeEndpoint(id - 6, 0, EndpointState.GONE);
             host.run(2, () -> well(host, 6, 0.5, 10));
         }
         assertTrue(
@@ -745,7 +715,7 @@
     private static FakeControllerHost crowded() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
+                        AdmissionMode.SHARE,
                         0,
                         FakeControllerHost.requestClass(0, true, 1),
                         FakeControllerHost.requestClass(1, false, 2));
@@ -810,15 +780,9 @@
         for (int step = 0; step < 10; step++) {
             host.controller.endpointListStarted(false, false);
             for (long id = 1 + 12 * step; id <= 12 + 12 * step; id++) {
+                host.controller.endpointListed(id, (int) (id % 3), 0, 1, 0, EndpointState.DRAINING);
                 host.controller.endpointListed(
-                        id, (int) (id % 3), 0, 1, 0, RoutingController.EndpointState.DRAINING);
-                host.controller.endpointListed(
-                        200 + id,
-                        (int) (id % 3),
-                        0,
-                        1,
-                        host.now,
-                        RoutingController.EndpointState.AVAILABLE);
+                        200 + id, (int) (id % 3), 0, 1, host.now, EndpointState.AVAILABLE);
             }
             host.controller.endpointListCompleted();
             host.settle();
@@ -867,7 +831,7 @@
     void whereMostServersAreColdTheyStillGetTheirShareBesideTheWarm() {
         FakeControllerHost host =
                 new FakeControllerHost(
-                        RoutingController.AdmissionMode.SHARE,
+                        AdmissionMode.SHARE,
                         0,
                         FakeControllerHost.requestClass(0, true, 1),
                         FakeControllerHost.requestClass(1, false, 2));
@@ -879,7 +843,7 @@
         host.run(10, () -> well(host, 10, 0.5, 10));
         double started = host.now;
         for (long id = 1; id <= 6; id++) {
-            host.changeEndpoint(id, started, RoutingController.EndpointState.AVAILABLE);
+            host.changeEndpoint(id, started, EndpointState.AVAILABLE);
         }
         host.run(6, () -> well(host, 10, 0.5, 10));
         double share = 0.4 + 0.6 * (host.now - started) / 16_000;
--- a/src/test/java/sprucelanding/control/decision/SpeedPriorTest.java
+++ b/src/test/java/sprucelanding/control/decision/SpeedPriorTest.java
@@ -19,12 +19,7 @@
         host.controller.endpointListStarted(true, true);
         for (long id = 1; id <= 24; id++) {
             host.controller.endpointListed(
-                    id,
-                    (int) (id % 3),
-                    id <= 12 ? FAST : SLOW,
-                    1,
-                    0,
-                    RoutingController.EndpointState.AVAILABLE);
+                    id, (int) (id % 3), id <= 12 ? FAST : SLOW, 1, 0, EndpointState.AVAILABLE);
         }
         host.controller.endpointListCompleted();
         host.settle();
@@ -40,8 +35,7 @@
 
     private static void starts(FakeControllerHost host, long id, int kind) {
         host.controller.endpointListStarted(false, false);
-        host.controller.endpointListed(
-                id, 0, kind, 1, host.now, RoutingController.EndpointState.AVAILABLE);
+        host.controller.endpointListed(id, 0, kind, 1, host.now, EndpointState.AVAILABLE);
         host.controller.endpointListCompleted();
         host.settle();
     }
--- a/src/test/java/sprucelanding/control/distribution/DistributorHarness.java
+++ b/src/test/java/sprucelanding/control/distribution/DistributorHarness.java
@@ -7,8 +7,10 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.Proxy;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
@@ -26,7 +28,7 @@
                     new SplittableRandom(7),
                     new RequestClass[] {READ, SIGN},
                     3,
-                    RoutingController.AdmissionMode.SHARE);
+                    AdmissionMode.SHARE);
     final TableDistributor distributor =
             new TableDistributor(
                     2, endpoint -> endpoint.mayBeEjectedElsewhere() || endpoint.id % 10 == 0);
@@ -60,8 +62,7 @@
         controller.setTime(nowMillis);
         controller.endpointListStarted(true, true);
         for (int id = 1; id <= endpointCount; id++) {
-            controller.endpointListed(
-                    id, id % 3, 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+            controller.endpointListed(id, id % 3, 0, 1, 0, EndpointState.AVAILABLE);
         }
         controller.endpointListCompleted();
         for (int id : proxyIds) {
@@ -91,7 +92,7 @@
         tableByProxy.remove(id);
     }
 
-    void changeState(long id, RoutingController.EndpointState state) {
+    void changeState(long id, EndpointState state) {
         controller.endpointListStarted(false, false);
         controller.endpointListed(id, (int) (id % 3), 0, 1, 0, state);
         controller.endpointListCompleted();
--- a/src/test/java/sprucelanding/control/distribution/TableDistributorTest.java
+++ b/src/test/java/sprucelanding/control/distribution/TableDistributorTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import sprucelanding.control.decision.ControllerOutput;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.EndpointState;
 
 class TableDistributorTest {
     private static final BitSet ALL_CLASSES = BitSet.valueOf(new long[] {3});
@@ -35,8 +35,7 @@
                 new TableDistributor(2, endpoint -> false, endpoint -> endpoint.isAvailable());
         harness.endpoints.values().forEach(endpoint -> distributor.setWeight(0, endpoint, 1));
         distributor.proxyJoined(1, true);
-        harness.changeState(
-                4, RoutingController.EndpointState.DRAINING); // its line is still to be removed
+        harness.changeState(4, EndpointState.DRAINING); // its line is still to be removed
         distributor.bindProxy(0, harness.proxies.get(1), ALL_CLASSES);
         distributor.setWeight(0, harness.endpoints.get(4L), 3);
         distributor.flush(
@@ -197,8 +196,8 @@
         int exactCount = 0;
         for (int second = 0; second < 120; second++) {
             if (random.nextInt(6) == 0) {
-                harness.changeState(nextEndpointId - 12, RoutingController.EndpointState.DRAINING);
-                harness.changeState(nextEndpointId++, RoutingController.EndpointState.AVAILABLE);
+                harness.changeState(nextEndpointId - 12, EndpointState.DRAINING);
+                harness.changeState(nextEndpointId++, EndpointState.AVAILABLE);
             }
             if (random.nextInt(4) == 0) {
                 int proxy = 1 + random.nextInt(6);
@@ -240,8 +239,8 @@
     void restoresOfABindAreCountedInTheChannel() {
         DistributorHarness harness = new DistributorHarness(8);
         for (long id = 1; id <= 5; id++) {
-            harness.changeState(id, RoutingController.EndpointState.GONE);
-            harness.changeState(id, RoutingController.EndpointState.AVAILABLE);
+            harness.changeState(id, EndpointState.GONE);
+            harness.changeState(id, EndpointState.AVAILABLE);
         }
         harness.join(3, false);
         for (int second = 0; second < 9 && !harness.updates.containsKey(3); second++) {
--- a/src/test/java/sprucelanding/replay/capture/CaptureTest.java
+++ b/src/test/java/sprucelanding/replay/capture/CaptureTest.java
@@ -22,7 +22,9 @@
 import sprucelanding.control.core.ControllerInput;
 import sprucelanding.control.core.DirectInput;
 import sprucelanding.control.core.GovernorCore;
+import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
 
@@ -44,7 +46,7 @@
                             new RequestClass(0, true, 1, 800, new BitSet(), new BitSet(), false)
                         },
                         2,
-                        RoutingController.AdmissionMode.SHARE);
+                        AdmissionMode.SHARE);
         controller.configureEndpointList(true, false, 0.25, 5000);
         controller.configureChannel(10, 1, 1000, 0, 10_000);
         controller.configureReports(true, 500);
@@ -57,8 +59,7 @@
         controller.setTime(1000.125);
         controller.endpointListStarted(true, true);
         for (int endpointId = 1; endpointId <= 12; endpointId++) {
-            controller.endpointListed(
-                    endpointId, endpointId % 2, 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+            controller.endpointListed(endpointId, endpointId % 2, 0, 1, 0, EndpointState.AVAILABLE);
         }
         controller.endpointListCompleted();
         for (int proxyId = 0; proxyId < 6; proxyId++) {
@@ -82,12 +83,7 @@
                 controller.endpointListStarted(false, false);
                 for (int endpointId = 4; endpointId <= 9; endpointId++) {
                     controller.endpointListed(
-                            endpointId,
-                            endpointId % 2,
-                            0,
-                            1,
-                            0,
-                            RoutingController.EndpointState.GONE);
+                            endpointId, endpointId % 2, 0, 1, 0, EndpointState.GONE);
                 }
                 controller.endpointListCompleted();
             }
--- a/src/test/java/sprucelanding/runtime/governor/RecordedProbeTest.java
+++ b/src/test/java/sprucelanding/runtime/governor/RecordedProbeTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.testing.Recording;
 
@@ -41,7 +41,7 @@
         return answers;
     }
 
-    private static String word(RoutingController.HealthCheckResult answer) {
+    private static String word(HealthCheckResult answer) {
         return switch (answer) {
             case OK -> "healthy";
             case BUSY -> "busy";
--- a/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
+++ b/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
@@ -12,6 +12,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import sprucelanding.control.decision.AdmissionMode;
+import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.settings.MalformedInputException;
@@ -24,7 +26,7 @@
                         new RequestClass(0, true, 1, 800, new BitSet(), new BitSet(), false)
                     },
                     1,
-                    RoutingController.AdmissionMode.SHARE);
+                    AdmissionMode.SHARE);
     private final EndpointDirectory directory = new EndpointDirectory(List.of("a"), List.of("m1"));
 
     private boolean applyList(double nowMillis, String list) {
@@ -57,14 +59,8 @@
                             ServerHarness.list(
                                     2, true, ServerHarness.entry("s-3", "ready"), malformed)),
                     malformed);
-            assertEquals(
-                    RoutingController.EndpointState.AVAILABLE,
-                    directory.find("s-1").state,
-                    malformed);
-            assertEquals(
-                    RoutingController.EndpointState.AVAILABLE,
-                    directory.find("s-2").state,
-                    malformed);
+            assertEquals(EndpointState.AVAILABLE, directory.find("s-1").state, malformed);
+            assertEquals(EndpointState.AVAILABLE, directory.find("s-2").state, malformed);
             assertNotNull(directory.find("s-3"));
             assertEquals(1, directory.revision(), "it goes on from the last that was whole");
         }
--- a/src/test/java/sprucelanding/runtime/server/HealthCheckerTest.java
+++ b/src/test/java/sprucelanding/runtime/server/HealthCheckerTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
-import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.runtime.eventloop.HttpGet;
 import sprucelanding.runtime.eventloop.HttpParser;
@@ -90,7 +90,7 @@
                                 "HTTP/1.1 200 OK\r\ncontent-length: 19\r\n\r\nTEXT cpu_share=0.61"
                                         .getBytes(StandardCharsets.ISO_8859_1));
                 assertEquals(
-                        RoutingController.HealthCheckResult.NOT_PERFORMED + " NaN",
+                        HealthCheckResult.NOT_PERFORMED + " NaN",
                         results.poll(15, TimeUnit.SECONDS));
             }
             BlockingQueue<Integer> inFlight = new LinkedBlockingQueue<>();
@@ -147,7 +147,7 @@
     @Test
     void responseCarriesTheLoad() throws Exception {
         assertEquals(
-                RoutingController.HealthCheckResult.OK + " 0.61",
+                HealthCheckResult.OK + " 0.61",
                 checkResult(
                         respondWith(
                                 "HTTP/1.1 200 OK\r\ncontent-length: 32\r\n\r\nTEXT busy_reqs=7, cpu_share=0.61")));
@@ -156,10 +156,10 @@
     @Test
     void missingOrMalformedLoadIsNaN() throws Exception {
         assertEquals(
-                RoutingController.HealthCheckResult.OK + " NaN",
+                HealthCheckResult.OK + " NaN",
                 checkResult(respondWith("HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")));
         assertEquals(
-                RoutingController.HealthCheckResult.OK + " NaN",
+                HealthCheckResult.OK + " NaN",
                 checkResult(
                         respondWith(
                                 "HTTP/1.1 200 OK\r\ncontent-length: 17\r\n\r\nTEXT cpu_share=-x")));
@@ -168,35 +168,32 @@
     @Test
     void status503IsBusy() throws Exception {
         assertEquals(
-                RoutingController.HealthCheckResult.BUSY + " NaN",
+                HealthCheckResult.BUSY + " NaN",
                 checkResult(respondWith("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n")));
     }
 
     @Test
     void otherStatusIsAnError() throws Exception {
+        assertEquals(HealthCheckResult.ERROR + " NaN", checkResult(respondWith("no HTTP\r\n\r\n")));
         assertEquals(
-                RoutingController.HealthCheckResult.ERROR + " NaN",
-                checkResult(respondWith("no HTTP\r\n\r\n")));
-        assertEquals(
-                RoutingController.HealthCheckResult.ERROR + " NaN",
+                HealthCheckResult.ERROR + " NaN",
                 checkResult(respondWith("HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n")));
     }
 
     @Test
     void refusedOrResetConnectionIsUnreachable() throws Exception {
-        assertEquals(RoutingController.HealthCheckResult.UNREACHABLE + " NaN", checkResult(null));
+        assertEquals(HealthCheckResult.UNREACHABLE + " NaN", checkResult(null));
         assertEquals(
-                RoutingController.HealthCheckResult.UNREACHABLE + " NaN",
+                HealthCheckResult.UNREACHABLE + " NaN",
                 checkResult(socket -> socket.setSoLinger(true, 0)));
     }
 
     @Test
     void missingOrEndlessResponseIsSilent() throws Exception {
         assertEquals(
-                RoutingController.HealthCheckResult.TIMED_OUT + " NaN",
-                checkResult(socket -> Thread.sleep(10_000)));
+                HealthCheckResult.TIMED_OUT + " NaN", checkResult(socket -> Thread.sleep(10_000)));
         assertEquals(
-                RoutingController.HealthCheckResult.TIMED_OUT + " NaN",
+                HealthCheckResult.TIMED_OUT + " NaN",
                 checkResult(
                         socket -> {
                             socket.getOutputStream()
--- a/src/test/java/sprucelanding/runtime/server/RecordedPlatformTest.java
+++ b/src/test/java/sprucelanding/runtime/server/RecordedPlatformTest.java
@@ -6,8 +6,8 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.RequestClass;
-import sprucelanding.control.decision.RoutingController;
 import sprucelanding.simulation.simulator.WireRecording;
 
 /**
@@ -58,8 +58,8 @@
                 new VirtualGovernor(
                         endpoint ->
                                 endpoint.equals("e-7") && step[0] >= 30 && step[0] < 50
-                                        ? RoutingController.HealthCheckResult.UNREACHABLE
-                                        : RoutingController.HealthCheckResult.OK);
+                                        ? HealthCheckResult.UNREACHABLE
+                                        : HealthCheckResult.OK);
         governor.discovery(ready(41, 10), true);
         for (step[0] = 0; step[0] < STEPS; step[0]++) {
             governor.passes(STEP_MS);
@@ -120,8 +120,7 @@
     /** Orders of the test's own, for forms that decisions seldom take. */
     @Test
     void updatesThatAreOrdered() throws IOException {
-        VirtualGovernor governor =
-                new VirtualGovernor(endpoint -> RoutingController.HealthCheckResult.OK);
+        VirtualGovernor governor = new VirtualGovernor(endpoint -> HealthCheckResult.OK);
         governor.discovery(ready(41, 6), true);
         joins(governor, 0, 4, true);
         governor.passes(STEP_MS);
@@ -134,8 +133,7 @@
     /** A table with more lines than one object holds is continued in a second one. */
     @Test
     void aTableOfManyLines() throws IOException {
-        VirtualGovernor governor =
-                new VirtualGovernor(endpoint -> RoutingController.HealthCheckResult.OK);
+        VirtualGovernor governor = new VirtualGovernor(endpoint -> HealthCheckResult.OK);
         governor.discovery(ready(41, MANY), true);
         governor.decides();
         governor.joins(0, "north", 10, true);
--- a/src/test/java/sprucelanding/runtime/server/UpdateEncoderTest.java
+++ b/src/test/java/sprucelanding/runtime/server/UpdateEncoderTest.java
@@ -10,8 +10,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.Proxy;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
@@ -40,13 +42,13 @@
                         new SplittableRandom(1),
                         new RequestClass[] {READ, SIGN},
                         1,
-                        RoutingController.AdmissionMode.SHARE);
+                        AdmissionMode.SHARE);
         controller.configureChannel(3, 6, 5000, 0, 10_000);
         controller.configureReports(false, 1000);
         controller.setTime(1000);
         controller.endpointListStarted(true, true);
         for (int id = 1; id <= 2; id++) {
-            controller.endpointListed(id, 0, 0, 1, 0, RoutingController.EndpointState.AVAILABLE);
+            controller.endpointListed(id, 0, 0, 1, 0, EndpointState.AVAILABLE);
         }
         controller.endpointListCompleted();
         controller.proxyJoined(4, 0, 10, true);
--- a/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
+++ b/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
@@ -10,6 +10,7 @@
 import java.util.TreeMap;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.Proxy;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
@@ -25,7 +26,7 @@
 final class VirtualGovernor implements ControllerOutput {
     /** How an endpoint answers a probe. */
     interface Endpoints {
-        RoutingController.HealthCheckResult answers(String endpoint);
+        HealthCheckResult answers(String endpoint);
     }
 
     private record Timer(int tag, double at) {}
@@ -84,8 +85,8 @@
         List.copyOf(acknowledgements).forEach(a -> choice.acknowledged(a.proxy, a.receipt));
         acknowledgements.clear();
         for (String endpoint : List.copyOf(probed)) {
-            RoutingController.HealthCheckResult answer = endpoints.answers(endpoint);
-            double load = answer == RoutingController.HealthCheckResult.OK ? 0.5 : Double.NaN;
+            HealthCheckResult answer = endpoints.answers(endpoint);
+            double load = answer == HealthCheckResult.OK ? 0.5 : Double.NaN;
             choice.healthCheckCompleted(names.find(endpoint).id, answer, load);
         }
         probed.clear();
--- a/src/test/java/sprucelanding/testing/ScenarioRig.java
+++ b/src/test/java/sprucelanding/testing/ScenarioRig.java
@@ -17,6 +17,7 @@
 import sprucelanding.control.core.DirectInput;
 import sprucelanding.control.core.GovernorCore;
 import sprucelanding.control.core.InputListener;
+import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.delivery.Delivery;
@@ -92,7 +93,7 @@
                             new RequestClass(0, true, 1, 800, new BitSet(), new BitSet(), false)
                         },
                         2,
-                        RoutingController.AdmissionMode.SHARE);
+                        AdmissionMode.SHARE);
         controller.configureEndpointList(true, false, 0.25, 5000);
         controller.configureChannel(100, 1, 100_000, 0, 10_000);
         controller.configureReports(true, 500);
