--- a/src/main/java/sprucelanding/control/core/GovernorCore.java
+++ b/src/main/java/sprucelanding/control/core/GovernorCore.java
@@ -10,6 +10,7 @@
 import java.util.function.BooleanSupplier;
 import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
 import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.HealthCheckResult;
@@ -528,8 +529,8 @@
         }
 
         @Override
-        public void log(String event) {
-            host.log(event, "by", "choice");
+        public void log(DecisionEvent event) {
+            host.log(event.text(), "by", "choice");
         }
     }
 
--- a/src/main/java/sprucelanding/control/decision/AdmissionController.java
+++ b/src/main/java/sprucelanding/control/decision/AdmissionController.java
@@ -2,126 +2,122 @@
 
 import java.util.ArrayDeque;
 import java.util.Collection;
+import java.util.Optional;
 
 /**
- * Decides how much of each product the proxies let in, so that the servers stay below saturation:
- * the cheapest products are declined first. Reports of load are about three turns old, so levels
- * steer from the share that was let in back then.
+ * Decides how much of each request class the proxies admit, so that the endpoints stay below
+ * saturation: the classes of least revenue are shed first. Reports of load are about three periodic
+ * updates old, so the admitted share is steered from what was admitted back then.
  */
 final class AdmissionController {
-    /** A rate that limits nobody, txns a second. */
+    /** A rate that limits nobody, requests a second. */
     static final double UNLIMITED_RATE = 1e6;
 
-    /** Mean load past which slow and voided answers count on top. */
+    /** Mean load past which slow and failed requests count on top. */
     static final double BUSY_LOAD = 0.8;
 
     /** Mean load past which queues grow. */
     static final double SATURATED_LOAD = 0.75;
 
+    /** Periodic updates until what was sent shows in the reports. */
+    static final int REPORT_LAG_UPDATES = 3;
+
     /** Mean load that is steered for under overload. */
     private static final double TARGET_LOAD = 0.7;
 
-    /** The load that is foreseen past which levels fall before it shows. */
+    /** The expected load past which requests are shed before it shows. */
     private static final double EXPECTED_OVERLOAD = 0.95;
 
-    /** Part of the SLA time that answers usually take. */
+    /** Part of the latency objective that responses usually take. */
     private static final double NORMAL_RESPONSE_SHARE = 0.5;
 
-    /** What lateness and voided answers count at most, as a part of the load. */
+    /** What lateness and failed requests count for at most, as a part of the load. */
     private static final double MAX_STRAIN_SURCHARGE = 1;
 
-    /** The lowest level of a product, and the least that is let in of all. */
+    /** The least share of a class that is admitted. */
     private static final double MIN_CLASS_SHARE = 0.05;
 
+    /** The least share of all requests that is admitted. */
     private static final double MIN_ADMITTED_SHARE = 0.07;
 
-    /** How fast the share that is let in grows at most, a turn. */
+    /** How fast the admitted share grows at most, for each periodic update. */
     private static final double MAX_GROWTH = 1.6;
 
-    /** Turns until a level shows in the reports. */
-    private static final int REPORT_LAG_UPDATES = 3;
-
-    /** The least part of the load that is foreseen to stay. */
+    /** The least part of the load that is expected to stay when some of it goes. */
     private static final double MIN_REMAINING_LOAD = 0.05;
 
-    /** The lowest rate at a proxy, txns a second. */
+    /** The lowest rate at a proxy, requests a second. */
     private static final double MIN_RATE = 0.1;
 
+    private final EventTime time;
     private final RequestClass[] requestClasses;
 
-    /** Let in of late, oldest first: reports tell of the oldest. */
+    /** Shares admitted of late, oldest first: reports tell of the oldest. */
     private final ArrayDeque<Double> recentAdmittedShares = new ArrayDeque<>();
 
     private double admittedShare = 1;
     private boolean overloaded;
 
-    /**
-     * Creates a controller that lets in all; it sets the levels, rates and demands of these
-     * products.
-     */
-    AdmissionController(RequestClass[] requestClasses) {
+    /** Creates a controller that admits all; it sets demand and admission of these classes. */
+    AdmissionController(EventTime time, RequestClass[] requestClasses) {
+        this.time = time;
         this.requestClasses = requestClasses;
     }
 
-    /** Whether something is declined, or about to be. */
-    boolean overloaded() {
+    /** Whether requests are shed, or about to be. */
+    boolean isOverloaded() {
         return overloaded;
     }
 
     /**
-     * Sets demand, level and rate of each product, once a turn.
+     * Sets demand and admission of each request class, once in each periodic update.
      *
-     * @param use mean load of the servers, 1 is full
-     * @param answerTime mean time of an answer, ms
-     * @param voidShare part of the tries that were voided
-     * @return a line for the log if the mode has changed, or null
+     * @param load mean load of the endpoints, 1 is full
+     * @param responseTime mean response time, ms
+     * @param failureShare part of the attempts that failed
+     * @return what to log, if requests began to be shed or are all admitted again
      */
-    String update(Collection<Proxy> proxies, double use, double answerTime, double voidShare) {
+    Optional<DecisionEvent> update(
+            Collection<Proxy> proxies, double load, double responseTime, double failureShare) {
         double demand = 0;
-        double slaTime = 0;
+        double objectiveSum = 0;
         for (RequestClass requestClass : requestClasses) {
-            requestClass.demand =
-                    proxies.stream().mapToDouble(proxy -> proxy.demand[requestClass.index]).sum();
-            demand += requestClass.demand;
-            slaTime += requestClass.demand * requestClass.latencyObjective;
+            int index = requestClass.index;
+            requestClass.setDemand(
+                    proxies.stream().mapToDouble(proxy -> proxy.demand(index)).sum());
+            demand += requestClass.demand();
+            objectiveSum += requestClass.demand() * requestClass.latencyObjective();
         }
         if (demand <= 0) {
-            return null;
+            return Optional.empty();
         }
-        double late = Math.max(0, answerTime * demand / slaTime - NORMAL_RESPONSE_SHARE);
+        double lateness = Math.max(0, responseTime * demand / objectiveSum - NORMAL_RESPONSE_SHARE);
         boolean before = overloaded;
-        steer(use > BUSY_LOAD ? use * (1 + Math.min(MAX_STRAIN_SURCHARGE, late + voidShare)) : use);
-        setAdmittedShares(proxies, demand);
+        double surcharge = Math.min(MAX_STRAIN_SURCHARGE, lateness + failureShare);
+        steer(load > BUSY_LOAD ? load * (1 + surcharge) : load);
+        setAdmission(proxies, demand);
         if (overloaded == before) {
-            return null;
+            return Optional.empty();
         }
-        return (overloaded ? "declining: use " : "all let in: use ")
-                + percent(use)
-                + ", late "
-                + percent(late)
-                + ", voided "
-                + percent(voidShare);
+        return Optional.of(
+                new DecisionEvent.OverloadChanged(overloaded, load, lateness, failureShare));
     }
 
-    /** Steers the share that is let in towards the goal: halfway, and at once past full use. */
+    /** Steers the admitted share towards the target: halfway, and at once past full load. */
     private void steer(double strain) {
         overloaded = strain > SATURATED_LOAD || overloaded && admittedShare < 1;
-        double foreseen =
-                strain
-                        * (recentAdmittedShares.isEmpty()
-                                ? 1
-                                : admittedShare / recentAdmittedShares.peekFirst());
-        overloaded |= foreseen > EXPECTED_OVERLOAD;
+        double reported =
+                recentAdmittedShares.isEmpty()
+                        ? 1
+                        : admittedShare / recentAdmittedShares.peekFirst();
+        double expected = strain * reported;
+        overloaded |= expected > EXPECTED_OVERLOAD;
         if (overloaded) {
-            double goal = admittedShare * TARGET_LOAD / foreseen;
-            double step =
-                    foreseen > 1 || foreseen < TARGET_LOAD / 2 ? goal : (admittedShare + goal) / 2;
-            admittedShare =
-                    Math.min(
-                            1,
-                            Math.max(
-                                    MIN_ADMITTED_SHARE,
-                                    Math.min(MAX_GROWTH * admittedShare, step)));
+            double target = admittedShare * TARGET_LOAD / expected;
+            boolean farOff = expected > 1 || expected < TARGET_LOAD / 2;
+            double step = farOff ? target : (admittedShare + target) / 2;
+            double grown = Math.min(MAX_GROWTH * admittedShare, step);
+            admittedShare = Math.min(1, Math.max(MIN_ADMITTED_SHARE, grown));
         }
         recentAdmittedShares.addLast(admittedShare);
         if (recentAdmittedShares.size() > REPORT_LAG_UPDATES) {
@@ -129,35 +125,35 @@
         }
     }
 
-    private void setAdmittedShares(Collection<Proxy> proxies, double demand) {
+    private void setAdmission(Collection<Proxy> proxies, double demand) {
         for (RequestClass requestClass : requestClasses) {
             double higher = 0;
             double same = 0;
             for (RequestClass other : requestClasses) {
-                higher += other.revenue > requestClass.revenue ? other.demand : 0;
-                same += other.revenue == requestClass.revenue ? other.demand : 0;
+                higher += other.revenue() > requestClass.revenue() ? other.demand() : 0;
+                same += other.revenue() == requestClass.revenue() ? other.demand() : 0;
             }
-            double level = same <= 0 ? 1 : (admittedShare * demand - higher) / same;
-            requestClass.admittedShare =
-                    admittedShare >= 1 ? 1 : Math.max(MIN_CLASS_SHARE, Math.min(1, level));
-            requestClass.admittedRate = rate(requestClass, proxies);
+            double left = same <= 0 ? 1 : (admittedShare * demand - higher) / same;
+            double share = admittedShare >= 1 ? 1 : Math.max(MIN_CLASS_SHARE, Math.min(1, left));
+            requestClass.setAdmitted(share, rate(requestClass, share, proxies));
         }
     }
 
     /**
-     * The rate that lets in the product's level in all and leaves proxies with little traffic
+     * The rate that admits that share of the class in all and leaves proxies with little traffic
      * alone.
      */
-    private static double rate(RequestClass requestClass, Collection<Proxy> proxies) {
+    private static double rate(RequestClass requestClass, double share, Collection<Proxy> proxies) {
         double[] demands =
                 proxies.stream()
-                        .mapToDouble(other -> other.demand[requestClass.index])
+                        .mapToDouble(proxy -> proxy.demand(requestClass.index))
                         .sorted()
                         .toArray();
-        double left = requestClass.admittedShare * requestClass.demand;
+        double left = share * requestClass.demand();
         int i = 0;
         while (i < demands.length && demands[i] * (demands.length - i) < left) {
-            left -= demands[i++];
+            left -= demands[i];
+            i++;
         }
         return i == demands.length
                 ? UNLIMITED_RATE
@@ -165,17 +161,17 @@
     }
 
     /**
-     * The others' load grows by this share: a replica left (below 0: one came), or a proxy's
-     * traffic did.
+     * The load of the remaining endpoints is going to grow by this share: an endpoint leaves (below
+     * 0: one comes), or a proxy brings traffic. In the first updates nothing is known to compare it
+     * with.
      */
     void expectLoadChange(double share) {
+        if (time.updateCount() <= REPORT_LAG_UPDATES) {
+            return;
+        }
         for (int i = recentAdmittedShares.size(); i > 0; i--) {
-            recentAdmittedShares.addLast(
-                    recentAdmittedShares.pollFirst() * Math.max(MIN_REMAINING_LOAD, 1 - share));
+            double remaining = Math.max(MIN_REMAINING_LOAD, 1 - share);
+            recentAdmittedShares.addLast(recentAdmittedShares.pollFirst() * remaining);
         }
     }
-
-    private static String percent(double share) {
-        return Math.round(share * 100) + "%";
-    }
 }
--- a/src/main/java/sprucelanding/control/decision/BindBudget.java
+++ b/src/main/java/sprucelanding/control/decision/BindBudget.java
@@ -11,7 +11,7 @@
  * the time that a message takes on its way. The budget is the largest size for which this holds for
  * every proxy at once.
  */
-public final class BindBudget {
+final class BindBudget {
     /** The budget where no deadline binds. */
     public static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
--- a/src/main/java/sprucelanding/control/decision/ChannelBudget.java
+++ b/src/main/java/sprucelanding/control/decision/ChannelBudget.java
@@ -10,133 +10,140 @@
 
 /**
  * Models the governor's channel to its proxies: how many lines wait in it, how fast it drains, and
- * how many messages each proxy was sent. Every order asks here first whether it fits, and is booked
- * with that.
+ * how many messages each proxy was sent. Every update asks here first whether it fits, and is
+ * booked with that.
  *
- * <p>All orders of one moment form one message for each proxy concerned. A message costs its head,
- * its lines, and a line for the receipt that it asks for. Messages leave in order, so a receipt
- * shows that all booked before its message has left.
+ * <p>All updates of one time form one message to each proxy concerned, together a batch. A message
+ * costs its overhead, its lines, and a line for the acknowledgement that it asks for. Messages are
+ * delivered in order, so an acknowledgement shows that all booked before its message has left.
+ *
+ * <p>Times are ms, rates lines a ms.
  */
 final class ChannelBudget {
-    /** What an order is for, for the log. */
+    /** What an update is for; its text is how logs and captures have it. */
     enum Purpose {
-        WITHDRAWAL,
-        REMOVAL,
-        LINE,
-        BIND,
-        LEVEL,
-        CLEAR
-    }
+        EJECTION("WITHDRAWAL"),
+        REMOVAL("REMOVAL"),
+        WEIGHT("LINE"),
+        BIND("BIND"),
+        ADMISSION("LEVEL"),
+        CLEAR("CLEAR");
 
-    /** Part of the queue and of the messages to a proxy that ordinary orders may use. */
-    static final double ORDINARY_SHARE = 0.6;
+        private final String text;
 
-    /** The same for what health and binds ask for. */
-    static final double URGENT_SHARE = 0.75;
-
-    /** The same for levels under overload, and for tables that have lost most of their weight. */
-    static final double CRITICAL_SHARE = 0.9;
+        Purpose(String text) {
+            this.text = text;
+        }
 
-    /** The same for what the rules ask for. */
-    static final double FULL_SHARE = 1;
+        @Override
+        public String toString() {
+            return text;
+        }
+    }
 
-    /** Part of the stated pace that is trusted where no receipt comes. */
+    /** Part of the configured rate that is trusted where no acknowledgement comes. */
     static final double TRUSTED_RATE_SHARE = 0.5;
 
-    /** Receipts are numbered modulo that. */
+    /** Acknowledgement requests are numbered modulo that. */
     static final int ACKNOWLEDGEMENT_NUMBERS = 60_000;
 
-    /** Part of the stated limit that all orders but those of the rules may use. */
+    /** Part of the queue limit that all updates but mandatory ones may use. */
     private static final double DISCRETIONARY_QUEUE_SHARE = 0.85;
 
-    /** Time, ms, in which what waits has to leave at the pace seen, but for orders of the rules. */
+    /** Time in which what is queued has to leave at the measured rate, but mandatory updates. */
     private static final double MAX_QUEUE_TIME = 3000;
 
-    /** The least pace that is believed, of the stated one. */
+    /** The least rate that is believed, of the configured one. */
     private static final double MIN_RATE_SHARE = 0.05;
 
-    /** How fast the pace is trusted again while little waits, a turn. */
+    /** How fast the rate is trusted again while little is queued, for each periodic update. */
     private static final double RATE_RECOVERY_FACTOR = 1.6;
 
-    private static final double NEVER = Double.NEGATIVE_INFINITY;
+    /** Messages stay in the count for that part of an update interval longer than the span. */
+    private static final double MESSAGE_SPAN_MARGIN = 0.25;
 
-    private final double updateInterval;
+    private final EventTime time;
     private final EnumMap<Purpose, Double> bookedByPurpose = new EnumMap<>(Purpose.class);
-    private final Map<Integer, SentBatch> unacknowledgedBatches =
-            new LinkedHashMap<>(); // until later ones come
+
+    /** By acknowledgement number, the batches that no later one has made obsolete. */
+    private final Map<Integer, SentBatch> unacknowledgedBatches = new LinkedHashMap<>();
+
     private double configuredRate;
+    private double measuredRate;
     private double messageOverhead;
     private double queueLimit;
     private int messageLimit;
     private double messageSpan;
-    private double maxTransitTime;
-    private double now;
+    private double maxTransitTime = EventTime.UPDATE_INTERVAL;
     private long lastMessage;
     private double bookedLines;
-    private double bookedBeforeBatch;
-    private double lastBatchTime = NEVER;
+    private double deliveredLines;
+    private double lastAcknowledgementTime = EventTime.NEVER;
+
+    /** The batch under way: when it was begun, what was booked before, its lines by proxy. */
+    private double lastBatchTime = EventTime.NEVER;
 
-    /** Lines of this moment's message to each proxy, by its number. */
+    private double bookedBeforeBatch;
     private Map<Integer, Double> batchLinesByProxy = new HashMap<>();
 
-    private double deliveredLines;
-    private double lastAcknowledgementTime = NEVER;
-    private double measuredRate;
     private double queuedAtUpdate;
     private double bookedAtUpdate;
 
-    /** Creates a budget whose pace is measured once in a turn, ms. */
-    ChannelBudget(double turn) {
-        this.updateInterval = turn;
-        maxTransitTime = turn;
+    /** Creates a budget without limits set; see {@link #configure}. */
+    ChannelBudget(EventTime time) {
+        this.time = time;
     }
 
     /**
      * Sets the limits that the site states.
      *
-     * @param pace lines a ms that the channel drains under normal conditions
-     * @param head lines that a message costs beyond its own
-     * @param queueLimit lines that may wait
-     * @param messageLimit messages to one proxy within the span; 0: no limit
-     * @param messageSpan ms
+     * @param rate lines a ms that the channel drains under normal conditions
+     * @param overhead lines that a message costs beyond its own
+     * @param maxQueuedLines lines that may wait
+     * @param maxMessages messages to one proxy within the span; 0: no limit
+     * @param span ms
      */
     void configure(
-            double pace, double head, double queueLimit, int messageLimit, double messageSpan) {
-        configuredRate = pace;
-        this.measuredRate = pace;
-        this.messageOverhead = head;
-        this.queueLimit = queueLimit;
-        this.messageLimit = messageLimit;
-        this.messageSpan = messageSpan;
+            double rate, double overhead, double maxQueuedLines, int maxMessages, double span) {
+        configuredRate = rate;
+        measuredRate = rate;
+        messageOverhead = overhead;
+        queueLimit = maxQueuedLines;
+        messageLimit = maxMessages;
+        messageSpan = span;
     }
 
     /** Sets the time that a message takes at most on its way, ms. */
-    void maxTransitTime(double transit) {
-        this.maxTransitTime = transit;
-    }
-
-    void setTime(double now) {
-        this.now = now;
+    void setMaxTransitTime(double maxTransitTime) {
+        this.maxTransitTime = maxTransitTime;
     }
 
+    /** Lines a ms that the site states. */
     double configuredRate() {
         return configuredRate;
     }
 
+    /** Lines a ms that are counted on where nothing is measured. */
+    double trustedRate() {
+        return configuredRate * TRUSTED_RATE_SHARE;
+    }
+
     /** Lines a ms at which the channel is seen to drain. */
     double measuredRate() {
         return measuredRate;
     }
 
-    /** Lines that a message costs beyond the lines of its orders: its head, and its receipt. */
+    /** Lines that a message costs beyond its updates, its acknowledgement request included. */
     double totalMessageOverhead() {
         return messageOverhead + 1;
     }
 
+    /** Lines that a message costs whatever it carries. */
     double messageOverhead() {
         return messageOverhead;
     }
 
+    /** Lines that may wait. */
     double queueLimit() {
         return queueLimit;
     }
@@ -155,161 +162,177 @@
      * there is no limit.
      */
     double messageInterval() {
-        return messageLimit == 0 ? 0 : messageSpan / (ORDINARY_SHARE * messageLimit);
+        return messageLimit == 0
+                ? 0
+                : messageSpan / (ChannelPriority.ORDINARY.share() * messageLimit);
     }
 
-    /**
-     * Whether the messages that a proxy may be sent are used up past the part of the ordinary ones.
-     */
+    /** Whether the messages that a proxy may be sent are used up past the ordinary share. */
     boolean isMessageLimitNear(Proxy proxy) {
-        return proxy.messageTimes.size() > ORDINARY_SHARE * messageLimit;
+        return proxy.recentMessages() > ChannelPriority.ORDINARY.share() * messageLimit;
     }
 
-    /** The number that the message of this moment will have. */
+    /** The number that the messages of the batch under way will have. */
     long nextMessage() {
         return lastMessage + 1;
     }
 
-    /** The newest message whose receipt has that number. */
-    long messageAcknowledgedBy(int receipt) {
-        return lastMessage - Math.floorMod(lastMessage - receipt, ACKNOWLEDGEMENT_NUMBERS);
+    /** The newest message whose acknowledgement request has that number. */
+    long messageAcknowledgedBy(int acknowledgement) {
+        return lastMessage - Math.floorMod(lastMessage - acknowledgement, ACKNOWLEDGEMENT_NUMBERS);
     }
 
     /**
-     * Some proxy has applied the message with that receipt, and with it all that was booked before.
-     * Of the moment itself the share of its messages that are confirmed counts as having left.
+     * Some proxy has applied its message of that batch, it is not known which. All that was booked
+     * before has left; of the batch itself a share counts, as many of its messages are
+     * acknowledged.
      */
-    void acknowledged(int receipt) {
-        applyAcknowledgement(unacknowledgedBatches.get(receipt), SentBatch::confirmShare);
+    void acknowledged(int acknowledgement) {
+        applyAcknowledgement(
+                unacknowledgedBatches.get(acknowledgement), SentBatch::acknowledgeShare);
     }
 
-    /** The same where the proxy is known: of the moment itself, its own message has left. */
-    void acknowledged(int proxy, int receipt) {
-        applyAcknowledgement(unacknowledgedBatches.get(receipt), sent -> sent.confirm(proxy));
+    /** The same where the proxy is known: of the batch itself, its own message has left. */
+    void acknowledged(int proxy, int acknowledgement) {
+        applyAcknowledgement(
+                unacknowledgedBatches.get(acknowledgement), batch -> batch.acknowledge(proxy));
     }
 
-    private void applyAcknowledgement(SentBatch sent, Consumer<SentBatch> confirm) {
-        lastAcknowledgementTime = now;
-        if (sent != null) {
-            confirm.accept(sent);
-            deliveredLines = Math.max(deliveredLines, sent.delivered());
-            unacknowledgedBatches.values().removeIf(s -> s.bookedBefore < sent.bookedBefore);
+    private void applyAcknowledgement(SentBatch batch, Consumer<SentBatch> apply) {
+        lastAcknowledgementTime = time.now();
+        if (batch != null) {
+            apply.accept(batch);
+            deliveredLines = Math.max(deliveredLines, batch.deliveredLines());
+            unacknowledgedBatches
+                    .values()
+                    .removeIf(other -> other.bookedBefore() < batch.bookedBefore());
         }
     }
 
     /**
-     * Lines that may wait: all that no receipt confirms, for a channel may run far slower than
-     * stated. Where none has come for as long as one may take and a turn, part of the stated pace
-     * is trusted from then on.
+     * Lines that may wait: all that no acknowledgement confirms, for a channel may run far slower
+     * than configured. Where none has come for as long as one may take and an update interval, part
+     * of the configured rate is trusted from then on.
      */
     double queuedLines() {
-        double silent =
-                Math.max(0, now - lastAcknowledgementTime - maxTransitTime - updateInterval);
+        double expectedBy =
+                time.now() - lastAcknowledgementTime - maxTransitTime - EventTime.UPDATE_INTERVAL;
+        double silence = Math.max(0, expectedBy);
         return Math.max(
-                0, bookedLines - deliveredLines - silent * configuredRate * TRUSTED_RATE_SHARE);
+                0, bookedLines - deliveredLines - silence * configuredRate * TRUSTED_RATE_SHARE);
     }
 
-    /** Lines that may wait of all but what the rules ask for. */
-    double ordinaryQueueLimit() {
+    /** Lines that may wait of all but mandatory updates. */
+    double discretionaryQueueLimit() {
         return Math.min(DISCRETIONARY_QUEUE_SHARE * queueLimit, MAX_QUEUE_TIME * measuredRate);
     }
 
-    /** Measures the pace; to be called once a turn. */
+    /** Measures the rate; to be called once in each periodic update. */
     void measureRate() {
-        double drained =
-                (queuedAtUpdate + bookedLines - bookedAtUpdate - queuedLines())
-                        / updateInterval; // its pace, if never empty since
-        if (queuedAtUpdate < updateInterval * measuredRate) {
+        double interval = EventTime.UPDATE_INTERVAL;
+        double drainedPerMs =
+                (queuedAtUpdate + bookedLines - bookedAtUpdate - queuedLines()) / interval;
+        boolean mayHaveBeenEmpty = queuedAtUpdate < interval * measuredRate;
+        if (mayHaveBeenEmpty) {
             measuredRate = Math.min(configuredRate, RATE_RECOVERY_FACTOR * measuredRate);
         } else {
-            measuredRate =
-                    Math.max(
-                            MIN_RATE_SHARE * configuredRate,
-                            (measuredRate + Math.min(configuredRate, drained)) / 2);
+            double seen = (measuredRate + Math.min(configuredRate, drainedPerMs)) / 2;
+            measuredRate = Math.max(MIN_RATE_SHARE * configuredRate, seen);
         }
         queuedAtUpdate = queuedLines();
         bookedAtUpdate = bookedLines;
     }
 
-    /**
-     * Whether orders of so many lines to each of these proxies fit into that part of the limits.
-     */
-    boolean hasRoom(Collection<Proxy> to, int lines, double part) {
-        if (queuedLines() == 0) { // as long as nothing waits, no receipt is missing
+    /** Whether updates of so many lines to each of these proxies fit, at that priority. */
+    boolean hasRoom(Collection<Proxy> proxies, int lines, ChannelPriority priority) {
+        if (queuedLines() == 0) {
+            // as long as nothing waits, no acknowledgement is missing
             deliveredLines = bookedLines;
-            lastAcknowledgementTime = now;
+            lastAcknowledgementTime = time.now();
         }
-        double most = part < FULL_SHARE ? part * ordinaryQueueLimit() : queueLimit;
-        boolean room = queuedLines() + cost(to, lines) <= most;
-        for (Proxy proxy : to) {
-            proxy.messageTimes.removeIf(at -> at < now - messageSpan - updateInterval / 4);
-            room &=
-                    messageLimit == 0
-                            || proxy.hasMessageAt(now)
-                            || proxy.messageTimes.size() + 1 <= part * messageLimit;
+        double limit =
+                priority == ChannelPriority.MANDATORY
+                        ? queueLimit
+                        : priority.share() * discretionaryQueueLimit();
+        boolean fits = queuedLines() + cost(proxies, lines) <= limit;
+        double spanStart =
+                time.now() - messageSpan - EventTime.UPDATE_INTERVAL * MESSAGE_SPAN_MARGIN;
+        for (Proxy proxy : proxies) {
+            proxy.forgetMessagesBefore(spanStart);
+            fits &= hasRoomForMessage(proxy, priority);
         }
-        return room;
+        return fits;
     }
 
-    /** Books such orders if they fit; an order to nobody costs nothing. */
-    boolean book(Collection<Proxy> to, int lines, double part, Purpose purpose) {
-        if (to.isEmpty()) {
+    private boolean hasRoomForMessage(Proxy proxy, ChannelPriority priority) {
+        return messageLimit == 0
+                || proxy.hasMessageAt(time.now())
+                || proxy.recentMessages() + 1 <= priority.share() * messageLimit;
+    }
+
+    /** Books such updates if they fit; an update to nobody costs nothing. */
+    boolean book(Collection<Proxy> proxies, int lines, ChannelPriority priority, Purpose purpose) {
+        if (proxies.isEmpty()) {
             return true;
         }
-        if (!hasRoom(to, lines, part)) {
+        if (!hasRoom(proxies, lines, priority)) {
             return false;
         }
+        double now = time.now();
         if (lastBatchTime != now) {
             bookedBeforeBatch = bookedLines;
             batchLinesByProxy.clear();
         }
         lastBatchTime = now;
-        double cost = cost(to, lines);
-        to.forEach(proxy -> batchLinesByProxy.merge(proxy.id, cost(proxy, lines), Double::sum));
+        double cost = cost(proxies, lines);
+        proxies.forEach(
+                proxy -> batchLinesByProxy.merge(proxy.id, cost(proxy, lines), Double::sum));
         bookedLines += cost;
         bookedByPurpose.merge(purpose, cost, Double::sum);
-        to.stream()
+        proxies.stream()
                 .filter(proxy -> !proxy.hasMessageAt(now))
-                .forEach(proxy -> proxy.messageTimes.addLast(now));
+                .forEach(proxy -> proxy.messageSent(now));
         return true;
     }
 
-    private double cost(Collection<Proxy> to, int lines) {
+    private double cost(Collection<Proxy> proxies, int lines) {
         double cost = 0;
-        for (Proxy proxy : to) {
+        for (Proxy proxy : proxies) {
             cost += cost(proxy, lines);
         }
         return cost;
     }
 
     private double cost(Proxy proxy, int lines) {
-        return lines + (proxy.hasMessageAt(now) ? 0 : totalMessageOverhead());
+        return lines + (proxy.hasMessageAt(time.now()) ? 0 : totalMessageOverhead());
     }
 
-    /** Whether something was ordered at this moment whose receipt is not asked for yet. */
+    /** Whether something was booked at this time whose acknowledgement is not requested yet. */
     boolean hasOpenBatch() {
-        return lastBatchTime == now;
+        return lastBatchTime == time.now();
     }
 
     /**
-     * Ends the moment; messages went to so many proxies. The number of the receipt that they are to
-     * be asked for.
+     * Ends the batch under way.
+     *
+     * @param messages how many proxies are sent one
+     * @return the number of the acknowledgement that they are to be asked for
      */
     int closeBatch(double messages) {
-        lastBatchTime = NEVER;
+        lastBatchTime = EventTime.NEVER;
         lastMessage++;
-        int receipt = (int) (lastMessage % ACKNOWLEDGEMENT_NUMBERS);
-        unacknowledgedBatches.put(
-                receipt, new SentBatch(bookedBeforeBatch, batchLinesByProxy, messages));
+        int acknowledgement = (int) (lastMessage % ACKNOWLEDGEMENT_NUMBERS);
+        SentBatch batch = new SentBatch(bookedBeforeBatch, batchLinesByProxy, messages);
+        unacknowledgedBatches.put(acknowledgement, batch);
         batchLinesByProxy = new HashMap<>();
-        return receipt;
+        return acknowledgement;
     }
 
     /** What was booked since this was last asked, by purpose, for the log. */
-    String bookedLinesByPurpose() {
+    String takeBookedLinesByPurpose() {
         String text =
                 bookedByPurpose.entrySet().stream()
-                        .map(e -> e.getKey() + ":" + Math.round(e.getValue()))
+                        .map(entry -> entry.getKey() + ":" + Math.round(entry.getValue()))
                         .collect(Collectors.joining(","));
         bookedByPurpose.clear();
         return text;
--- /dev/null
+++ b/src/main/java/sprucelanding/control/decision/DrainReporter.java
@@ -0,0 +1,93 @@
+package sprucelanding.control.decision;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+
+/** Logs what proxies owe for endpoints that left, and each removal that is overdue. */
+final class DrainReporter {
+    /** Overdue removals that are logged one by one, of those found in one update. */
+    private static final int MAX_OVERDUE_LOGGED = 3;
+
+    private final EventTime time;
+    private final DecisionLog log;
+    private final ProxyRegistry proxies;
+    private final ChannelBudget channel;
+    private final DrainTracker drains;
+    private final StarterTables starterTables;
+    private final BindScheduler binds;
+
+    /** Without acknowledgements that name their proxy it is not known what is overdue. */
+    private boolean acknowledgementsNameProxy;
+
+    DrainReporter(
+            EventTime time,
+            DecisionLog log,
+            ProxyRegistry proxies,
+            ChannelBudget channel,
+            DrainTracker drains,
+            StarterTables starterTables,
+            BindScheduler binds) {
+        this.time = time;
+        this.log = log;
+        this.proxies = proxies;
+        this.channel = channel;
+        this.drains = drains;
+        this.starterTables = starterTables;
+        this.binds = binds;
+    }
+
+    /** The host says which proxy acknowledged a message. */
+    void acknowledgementsNameProxy() {
+        acknowledgementsNameProxy = true;
+    }
+
+    /** Logs what is owed, once in each periodic update. */
+    void report() {
+        if (!acknowledgementsNameProxy) {
+            return;
+        }
+        String booked = channel.takeBookedLinesByPurpose();
+        reportOverdue();
+        int unbound = drains.unbound();
+        int notOrdered = drains.notOrdered();
+        int bindsSent = binds.takeBindsSent();
+        if (unbound > 0 || notOrdered > 0) {
+            log.add(
+                    new DecisionEvent.DrainStatus(
+                            proxies.size(),
+                            unbound,
+                            notOrdered,
+                            drains.overdue(),
+                            Math.round(channel.queuedLines()),
+                            Math.round(1000 * channel.measuredRate()),
+                            starterTables.users().size(),
+                            starterTables.tableSize(),
+                            booked,
+                            bindsSent));
+        }
+    }
+
+    private void reportOverdue() {
+        List<DrainTracker.Overdue> overdue = new ArrayList<>();
+        double acknowledgedBy = time.now() - channel.maxTransitTime();
+        drains.check(acknowledgedBy, overdue::add);
+        overdue.stream().limit(MAX_OVERDUE_LOGGED).forEach(this::report);
+        if (!overdue.isEmpty()) {
+            Map<DrainTracker.Cause, Long> byCause =
+                    overdue.stream()
+                            .collect(
+                                    Collectors.groupingBy(
+                                            DrainTracker.Overdue::cause,
+                                            TreeMap::new,
+                                            Collectors.counting()));
+            log.add(new DecisionEvent.DrainViolations(overdue.size(), byCause));
+        }
+    }
+
+    private void report(DrainTracker.Overdue overdue) {
+        log.add(new DecisionEvent.DrainOverdue(overdue, Math.round(time.now() - overdue.due())));
+    }
+}
--- a/src/main/java/sprucelanding/control/decision/DrainTracker.java
+++ b/src/main/java/sprucelanding/control/decision/DrainTracker.java
@@ -20,7 +20,7 @@
  * acknowledgement, the end of the proxy's stream, or the endpoint's return to the list settles a
  * removal.
  */
-public final class DrainTracker {
+final class DrainTracker {
     /** No order that settles the removal has been sent yet. */
     private static final long NOT_ORDERED = -1;
 
@@ -84,7 +84,7 @@
         }
     }
 
-    private final double grace;
+    private double grace;
     private final Map<Integer, ProxyState> proxies = new TreeMap<>();
 
     /** Endpoints that are removed, in the order of their removal. */
@@ -106,6 +106,11 @@
         this.grace = grace;
     }
 
+    /** Sets the grace, ms; to be called before anything is tracked. */
+    void setGrace(double grace) {
+        this.grace = grace;
+    }
+
     /** The endpoint was told to be draining or gone. Has no effect if it was already removed. */
     public void endpointRemoved(long endpoint, double now) {
         removed.computeIfAbsent(endpoint, x -> new RemovedEndpoint(now));
--- a/src/main/java/sprucelanding/control/decision/Endpoint.java
+++ b/src/main/java/sprucelanding/control/decision/Endpoint.java
@@ -1,144 +1,141 @@
 package sprucelanding.control.decision;
 
-/** One replica: what the list says, what was reported and what was met there. */
+/**
+ * One endpoint: how it is listed, what is known of its load and health, and whether it is ejected.
+ * Each part of that state has one owner among the modules, which its setters name; others read.
+ */
 public final class Endpoint {
+    /** The host's identifier; it is never used for another endpoint. */
     public final long id;
-    int zone;
-    int kind;
-    double listedWeight = 1;
 
-    /** ms on the host's clock; 0 if long past. */
-    double startedAt;
+    private int zone;
+    private int machineKind;
+    private double listedWeight = 1;
+    private double startedAt;
+    private EndpointState state = EndpointState.GONE;
+    private double removedAt = EventTime.NEVER;
+    private boolean enteringService;
+    private boolean mayBeEjectedElsewhere;
+    private boolean ejectedFromAllTables;
+    private double sentWeight;
+    private final EndpointStats stats = new EndpointStats();
+    private final HealthCheckHistory healthChecks = new HealthCheckHistory();
+    private final Ejection ejection = new Ejection();
 
-    EndpointState state = EndpointState.GONE;
-
-    /** When it was last listed, if it no longer is. */
-    double removedAt = Double.NEGATIVE_INFINITY;
-
-    /** New on the list, or started anew, since the tables were last made to follow it. */
-    boolean enteringService;
-
-    /** Last reported share of busy cores, the same smoothed, and when the last report came. */
-    double load;
-
-    double smoothedLoad;
-    double lastReportAt = Double.NEGATIVE_INFINITY;
-
-    /** When a probe last brought a load. */
-    double lastCheckReportAt = Double.NEGATIVE_INFINITY;
-
-    /**
-     * When a report last told of a settled try; reports before deafUntil tell of an earlier life.
-     */
-    double lastCompletedAt = Double.NEGATIVE_INFINITY;
-
-    double ignoreReportsUntil;
+    Endpoint(long id) {
+        this.id = id;
+    }
 
     /**
-     * Sums that fade with age: ms of busy time, tries by outcome, and the settled ones' answer
-     * times.
+     * Whether another governor may have ejected it from all tables: proxies that come from there
+     * may not use it until they are told that it is restored.
      */
-    double busyTime;
-
-    double completed;
-    double attempts;
-    double failedAttempts;
-    double responseTimeSum;
-
-    /** Learnt speed; 1 is the mean. */
-    double speed = 1;
+    public boolean mayBeEjectedElsewhere() {
+        return mayBeEjectedElsewhere;
+    }
 
-    /** Sum of its weights, as last ordered, over all tables. */
-    double sentWeight;
+    /** Whether it may be sent requests, as far as the list tells. */
+    public boolean isAvailable() {
+        return state == EndpointState.AVAILABLE || state == EndpointState.MISSING;
+    }
 
-    /** It was away from the list at some time, or may have been. */
-    boolean mayBeEjectedElsewhere;
+    int zone() {
+        return zone;
+    }
 
-    /** Shut out of all tables, for proxies that are not bound yet. */
-    boolean ejectedEverywhere;
+    int machineKind() {
+        return machineKind;
+    }
 
-    boolean checkInProgress;
+    double listedWeight() {
+        return listedWeight;
+    }
 
-    /** Probes in a row without an answer, a refused connection counting for two; and with one. */
-    int missedChecks;
+    /** Start of its process on the host's clock, ms; 0 if long past. */
+    double startedAt() {
+        return startedAt;
+    }
 
-    int passedChecks;
+    EndpointState state() {
+        return state;
+    }
 
-    /** Kept out of the tables, until when at least, and for how long when last found sick. */
-    boolean ejected;
+    /** When it last ceased to be available, ms; never if it has always been. */
+    double removedAt() {
+        return removedAt;
+    }
 
-    double ejectedUntil = Double.NEGATIVE_INFINITY;
-    double ejectionTime;
+    /** It is new on the list, or started anew, since the tables were last made to follow it. */
+    boolean isEnteringService() {
+        return enteringService;
+    }
 
-    /** It fell silent together with its zone, whose proxies then are likely lost as well. */
-    boolean ejectedWithZone;
+    /** It is ejected from every table that joined proxies hold, whoever wrote them. */
+    boolean isEjectedFromAllTables() {
+        return ejectedFromAllTables;
+    }
 
-    /** Connections that tables of few servers ask of it, as they are dealt. */
-    double subsetDemand;
+    /** Sum of its weights, as last sent, over all tables. */
+    double sentWeight() {
+        return sentWeight;
+    }
 
-    Endpoint(long id) {
-        this.id = id;
+    EndpointStats stats() {
+        return stats;
     }
 
-    /**
-     * Whether another governor may have withdrawn it: proxies that come from there may shun it
-     * still.
-     */
-    public boolean mayBeEjectedElsewhere() {
-        return mayBeEjectedElsewhere;
+    HealthCheckHistory healthChecks() {
+        return healthChecks;
     }
 
-    /** Whether it may be given requests, as far as the list tells. */
-    public boolean isAvailable() {
-        return isListed();
+    Ejection ejection() {
+        return ejection;
     }
 
-    boolean isListed() {
-        return state == EndpointState.AVAILABLE || state == EndpointState.MISSING;
+    boolean isEjected() {
+        return ejection.isActive();
     }
 
-    void updateListing(int zone, int kind, double weight, double startedAt) {
+    /** Set by {@link EndpointRegistry}. */
+    void setListing(int zone, int machineKind, double weight, double startedAt) {
         this.zone = zone;
-        this.kind = kind;
+        this.machineKind = machineKind;
         this.listedWeight = weight > 0 ? weight : 1;
         this.startedAt = startedAt;
     }
 
-    void loadReported(double load, double now) {
-        if (load >= 0) {
-            this.load = Math.min(load, 1);
-            lastReportAt = now;
-        }
+    /** Set by {@link EndpointRegistry}. */
+    void setStartedAt(double startedAt) {
+        this.startedAt = startedAt;
+    }
+
+    /** Set by {@link EndpointRegistry}. */
+    void setState(EndpointState state) {
+        this.state = state;
     }
 
-    void requestsReported(int attempts, int failed, double answerTime, double now) {
-        this.attempts += attempts;
-        this.failedAttempts += failed;
-        completed += attempts - failed;
-        responseTimeSum += (attempts - failed) * answerTime;
-        lastCompletedAt = attempts > failed ? now : lastCompletedAt;
+    /** Set by {@link EndpointRegistry}. */
+    void setRemovedAt(double removedAt) {
+        this.removedAt = removedAt;
     }
 
-    /** How much the missed ones count for. */
-    void checkCompleted(boolean ok, int missed) {
-        passedChecks = missed > 0 ? 0 : passedChecks + (ok ? 1 : 0);
-        missedChecks = ok ? 0 : missedChecks + missed;
-        checkInProgress = false;
+    /** Set by {@link EndpointRegistry}. */
+    void setEnteringService(boolean enteringService) {
+        this.enteringService = enteringService;
     }
 
-    double isUnresponsive() {
-        return missedChecks > 0 ? 1 : 0;
+    /** Set by {@link EndpointRegistry}. */
+    void setMayBeEjectedElsewhere() {
+        mayBeEjectedElsewhere = true;
     }
 
-    void decayHealthEvidence(double part) {
-        attempts *= part;
-        failedAttempts *= part;
-        responseTimeSum *= part;
+    /** Set by {@link EjectionQueue}. */
+    void setEjectedFromAllTables(boolean ejected) {
+        ejectedFromAllTables = ejected;
     }
 
-    /** It starts anew: nothing is known of it. */
-    void resetStats() {
-        busyTime =
-                completed = attempts = failedAttempts = responseTimeSum = smoothedLoad = load = 0;
+    /** Called by {@link TableEntry} as its weight is sent. */
+    void addSentWeight(double change) {
+        sentWeight += change;
     }
 }
--- a/src/main/java/sprucelanding/control/decision/HealthCheckResult.java
+++ b/src/main/java/sprucelanding/control/decision/HealthCheckResult.java
@@ -13,5 +13,10 @@
     /** No connection came up. */
     UNREACHABLE,
     /** The check could not be made for a reason on this side; it tells nothing. */
-    NOT_PERFORMED
+    NOT_PERFORMED;
+
+    /** Whether the endpoint is to blame for the lack of an answer. */
+    boolean isMissed() {
+        return this != OK && this != BUSY && this != NOT_PERFORMED;
+    }
 }
--- a/src/main/java/sprucelanding/control/decision/Proxy.java
+++ b/src/main/java/sprucelanding/control/decision/Proxy.java
@@ -2,93 +2,163 @@
 
 import java.util.ArrayDeque;
 import java.util.Arrays;
+import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
 
-/** A proxy whose stream is joined, and what has been sent to it. */
+/**
+ * A proxy whose stream is joined: its demand, the tables that it goes by, and when messages were
+ * sent to it.
+ */
 public final class Proxy {
+    /** The host's number of the proxy. */
     public final int id;
-    final int zone;
 
-    /** It joined with what it started with, and no orders. */
-    final boolean unconfigured;
+    private final int zone;
+    private final boolean unconfigured;
+    private final double joinedAt;
+    private final double baselineDemand;
+    private final double[] demand;
 
-    final double joinedAt;
-
-    /** Txns a second that it usually gets, by what it was said to when it joined. */
-    final double baselineDemand;
+    /** By full table, the table that it was bound to. */
+    private final Map<RoutingTable, RoutingTable> boundTables = new HashMap<>();
 
     /**
-     * By the table of all servers, the one that it was put on; and which part it takes of those cut
-     * up.
+     * By full table, the starter table that it goes by instead of its regular one; mostly empty.
      */
-    final Map<RoutingTable, RoutingTable> tables = new HashMap<>();
+    private final Map<RoutingTable, RoutingTable> starterTables = new HashMap<>(2);
+
+    /** Which subset it takes of tables that are divided. */
+    private int subset;
 
-    int subset;
+    /** When messages were sent to it, ms, oldest first. */
+    private final ArrayDeque<Double> messageTimes = new ArrayDeque<>();
 
     /**
-     * By the table of all servers, the starter table that it goes by instead of its regular one;
-     * empty in calm times.
+     * Creates a proxy that is bound to no table.
+     *
+     * @param id the host's number of it
+     * @param zone position of its zone
+     * @param unconfigured whether it joined with what it started with, and no orders of a governor
+     * @param joinedAt ms
+     * @param demandByClass requests a second that it is expected to get of each class
+     * @param requestClasses how many classes there are
      */
-    final Map<RoutingTable, RoutingTable> starterTables = new HashMap<>(2);
+    Proxy(
+            int id,
+            int zone,
+            boolean unconfigured,
+            double joinedAt,
+            double demandByClass,
+            int requestClasses) {
+        this.id = id;
+        this.zone = zone;
+        this.unconfigured = unconfigured;
+        this.joinedAt = joinedAt;
+        this.baselineDemand = demandByClass * requestClasses;
+        this.demand = new double[requestClasses];
+        Arrays.fill(demand, demandByClass);
+    }
 
-    /** By when it has to be bound, as last planned, ms. */
-    double bindDeadline = Double.POSITIVE_INFINITY;
+    /** Whether it joined with what it started with, and no orders of a governor. */
+    boolean isUnconfigured() {
+        return unconfigured;
+    }
 
-    /** When messages were ordered for it, oldest first. */
-    final ArrayDeque<Double> messageTimes = new ArrayDeque<>();
+    double joinedAt() {
+        return joinedAt;
+    }
 
-    /** Txns a second by product, smoothed. */
-    final double[] demand;
+    /** Requests a second that it was expected to get when it joined. */
+    double baselineDemand() {
+        return baselineDemand;
+    }
 
-    Proxy(int id, int zone, boolean bare, double joinedAt, double usual, int products) {
-        this.id = id;
-        this.zone = zone;
-        this.unconfigured = bare;
-        this.joinedAt = joinedAt;
-        this.baselineDemand = usual * products;
-        this.demand = new double[products];
-        Arrays.fill(demand, usual);
+    /** Requests a second of a class, smoothed. */
+    double demand(int requestClass) {
+        return demand[requestClass];
+    }
+
+    double totalDemand() {
+        return Arrays.stream(demand).sum();
+    }
+
+    /** Moves the smoothed demand halfway to what was reported, requests a second. */
+    void demandReported(int requestClass, double perSecond) {
+        demand[requestClass] += (perSecond - demand[requestClass]) / 2;
+    }
+
+    /** Whether its requests go by that full table, or by a part of it. */
+    boolean uses(RoutingTable fullTable) {
+        return fullTable.zone() < 0 || fullTable.zone() == zone;
+    }
+
+    /** The table that it should go by at present: a starter table, or its regular one. */
+    RoutingTable assignedTable(RoutingTable fullTable) {
+        RoutingTable starter = starterTables.get(fullTable);
+        return starter == null ? regularTable(fullTable) : starter;
+    }
+
+    /** The table that it should go by in calm times: the full one, or its subset of that. */
+    RoutingTable regularTable(RoutingTable fullTable) {
+        return fullTable.subsets().isEmpty()
+                ? fullTable
+                : fullTable.subsets().get(subset % fullTable.subsets().size());
     }
 
-    /** From now on it goes by this table, and by no other part of the same one. */
-    void moveTo(RoutingTable target) {
-        RoutingTable before = tables.put(target.fullTable, target);
+    /** Whether it is not bound to the table that it should go by. */
+    boolean needsBind(RoutingTable fullTable) {
+        return uses(fullTable) && boundTables.get(fullTable) != assignedTable(fullTable);
+    }
+
+    boolean isBound() {
+        return !boundTables.isEmpty();
+    }
+
+    Collection<RoutingTable> boundTables() {
+        return boundTables.values();
+    }
+
+    /** From now on it goes by this table, and by no other part of the same full table. */
+    void bindTo(RoutingTable table) {
+        RoutingTable before = boundTables.put(table.fullTable(), table);
         if (before != null) {
-            before.users.remove(this);
+            before.removeUser(this);
         }
-        target.users.add(this);
-        target.receivers.add(this);
+        table.addUser(this);
     }
 
-    double totalDemand() {
-        return Arrays.stream(demand).sum();
+    /** The subset that it was assigned; below 0 if none. Set by {@link SubsetAllocator}. */
+    int subset() {
+        return subset;
+    }
+
+    void assignSubset(int index) {
+        subset = index;
+    }
+
+    Map<RoutingTable, RoutingTable> starterTables() {
+        return starterTables;
     }
 
     /**
-     * Whether a message goes to it at this moment: what is ordered at one time travels together.
+     * Whether a message goes to it at this time: what is ordered at one time travels in one
+     * message.
      */
     boolean hasMessageAt(double now) {
         return !messageTimes.isEmpty() && messageTimes.peekLast() == now;
     }
 
-    /** Its table at present: a starter table, or its regular one. */
-    RoutingTable assignedTable(RoutingTable table) {
-        RoutingTable starter = starterTables.get(table);
-        return starter == null ? regularTable(table) : starter;
-    }
-
-    /** Its regular table: the one of all servers, or its part of that. */
-    RoutingTable regularTable(RoutingTable table) {
-        return table.subsets.isEmpty() ? table : table.subsets.get(subset % table.subsets.size());
+    /** Messages since that time, ms, and those that were not dropped from the count yet. */
+    int recentMessages() {
+        return messageTimes.size();
     }
 
-    /** Whether its requests go by that table of all servers, or by a part of it. */
-    boolean usesTable(RoutingTable table) {
-        return table.zone < 0 || table.zone == zone;
+    void messageSent(double now) {
+        messageTimes.addLast(now);
     }
 
-    boolean needsBind(RoutingTable table) {
-        return usesTable(table) && tables.get(table) != assignedTable(table);
+    void forgetMessagesBefore(double time) {
+        messageTimes.removeIf(at -> at < time);
     }
 }
--- a/src/main/java/sprucelanding/control/decision/SentBatch.java
+++ b/src/main/java/sprucelanding/control/decision/SentBatch.java
@@ -2,50 +2,54 @@
 
 import java.util.Map;
 
-/** One moment's messages, and what their receipts show to have left the channel. */
+/** The messages that were sent at one time, and what their acknowledgements show to have left. */
 final class SentBatch {
-    /** Lines booked before this moment. */
-    final double bookedBefore;
-
+    private final double bookedBefore;
     private final double lines;
     private final double messages;
 
-    /** By the number of its proxy, the lines of each message that is not confirmed yet. */
-    private final Map<Integer, Double> unconfirmedByProxy;
+    /** By the number of its proxy, the lines of each message that is not acknowledged yet. */
+    private final Map<Integer, Double> unacknowledgedByProxy;
 
-    private double confirmed;
+    private double acknowledgedLines;
 
     /**
-     * Creates the record of a moment of which nothing is confirmed.
+     * Creates the record of a batch of which nothing is acknowledged.
      *
-     * @param before lines booked before it
-     * @param byProxy lines of its message to each proxy, by the proxy's number; this object's from
-     *     now on
-     * @param messages how many of them were written
+     * @param bookedBefore lines booked before it
+     * @param linesByProxy lines of its message to each proxy, by the proxy's number; this object's
+     *     from now on
+     * @param messages how many of them were sent
      */
-    SentBatch(double before, Map<Integer, Double> byProxy, double messages) {
-        this.bookedBefore = before;
-        this.unconfirmedByProxy = byProxy;
+    SentBatch(double bookedBefore, Map<Integer, Double> linesByProxy, double messages) {
+        this.bookedBefore = bookedBefore;
+        this.unacknowledgedByProxy = linesByProxy;
         this.messages = messages;
-        lines = byProxy.values().stream().mapToDouble(each -> each).sum();
+        lines = linesByProxy.values().stream().mapToDouble(each -> each).sum();
+    }
+
+    /** Lines booked before this batch. */
+    double bookedBefore() {
+        return bookedBefore;
     }
 
-    /** Some proxy's message is confirmed, it is not known whose: a share of all counts. */
-    void confirmShare() {
-        confirmed = Math.min(lines, confirmed + lines / messages);
+    /** Some proxy's message is acknowledged, it is not known whose: a share of all counts. */
+    void acknowledgeShare() {
+        acknowledgedLines = Math.min(lines, acknowledgedLines + lines / messages);
     }
 
     /**
-     * That proxy's message is confirmed. Its own lines count and no more: where one message is much
-     * larger than the others, a share of all would show lines to have left that wait behind it.
+     * That proxy's message is acknowledged. Its own lines count and no more: where one message is
+     * much larger than the others, a share of all would show lines to have left that wait behind
+     * it.
      */
-    void confirm(int proxy) {
-        Double own = unconfirmedByProxy.remove(proxy);
-        confirmed += own == null ? 0 : own;
+    void acknowledge(int proxy) {
+        Double own = unacknowledgedByProxy.remove(proxy);
+        acknowledgedLines += own == null ? 0 : own;
     }
 
-    /** Lines that have left for certain: all before it, and its own that are confirmed. */
-    double delivered() {
-        return bookedBefore + confirmed;
+    /** Lines that have left for certain: all before it, and its own that are acknowledged. */
+    double deliveredLines() {
+        return bookedBefore + acknowledgedLines;
     }
 }
--- a/src/main/java/sprucelanding/control/decision/SpeedPrior.java
+++ b/src/main/java/sprucelanding/control/decision/SpeedPrior.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * What is expected of a server's speed before its own evidence counts: its listed weight, corrected
- * by what warm servers of its machine kind have shown. Without it a server of a slow kind comes in
- * at the mean of all kinds, and a cold one is pushed over.
+ * What is expected of an endpoint's speed before its own evidence counts: its listed weight,
+ * corrected by what warm endpoints of its machine kind have shown. Without it an endpoint of a slow
+ * kind comes in at the mean of all kinds, and one that is warming up is overloaded.
  */
 final class SpeedPrior {
-    /** Settled tries at a kind that count for as much as its listed weights. */
+    /** Completed requests at a kind that count for as much as its listed weights. */
     private static final double LISTED_WEIGHT_EVIDENCE = 30;
 
     /** By machine kind, how many times faster it is than its listed weights tell; 1 is the mean. */
@@ -18,55 +18,59 @@
 
     private double meanListedWeight = 1;
 
-    /** Sums over the warm servers of a kind. */
+    /** Sums over the warm endpoints of a kind. */
     private static final class KindTotals {
-        double completed;
-        double busyTime;
-        double listedWeight;
-        int endpoints;
+        private double completed;
+        private double busyTime;
+        private double listedWeight;
+        private int endpoints;
+
+        void add(Endpoint endpoint) {
+            completed += endpoint.stats().completed();
+            busyTime += endpoint.stats().busyTime();
+            listedWeight += endpoint.listedWeight();
+            endpoints++;
+        }
     }
 
     /**
-     * Learns from the present evidence. A kind without warm servers keeps what it has shown before.
+     * Learns from the present evidence. A kind without warm endpoints keeps what it has shown
+     * before.
      *
-     * @param listed the servers on the list, whose weights are compared
-     * @param warm those that are warm and have settled tries
+     * @param available the endpoints on the list, whose weights are compared
+     * @param warm those that are warm and have completed requests
      */
-    void learn(Collection<Endpoint> listed, Collection<Endpoint> warm) {
+    void learn(Collection<Endpoint> available, Collection<Endpoint> warm) {
         meanListedWeight =
-                listed.stream().mapToDouble(endpoint -> endpoint.listedWeight).average().orElse(1);
+                available.stream().mapToDouble(Endpoint::listedWeight).average().orElse(1);
         Map<Integer, KindTotals> kinds = new HashMap<>();
         double completed = 0;
-        double busy = 0;
+        double busyTime = 0;
         for (Endpoint endpoint : warm) {
-            KindTotals kind = kinds.computeIfAbsent(endpoint.kind, x -> new KindTotals());
-            kind.completed += endpoint.completed;
-            kind.busyTime += endpoint.busyTime;
-            kind.listedWeight += endpoint.listedWeight;
-            kind.endpoints++;
-            completed += endpoint.completed;
-            busy += endpoint.busyTime;
+            kinds.computeIfAbsent(endpoint.machineKind(), added -> new KindTotals()).add(endpoint);
+            completed += endpoint.stats().completed();
+            busyTime += endpoint.stats().busyTime();
         }
-        if (busy <= 0) {
+        if (busyTime <= 0) {
             return;
         }
-        double mean = completed / busy;
-        kinds.forEach(
-                (number, kind) -> {
-                    double stated = kind.listedWeight / kind.endpoints / meanListedWeight;
-                    double shown =
-                            kind.busyTime > 0 ? kind.completed / kind.busyTime / mean : stated;
-                    double believed =
-                            (kind.completed * shown + LISTED_WEIGHT_EVIDENCE * stated)
-                                    / (kind.completed + LISTED_WEIGHT_EVIDENCE);
-                    speedFactorByKind.put(number, believed / stated);
-                });
+        double meanSpeed = completed / busyTime;
+        kinds.forEach((kind, totals) -> learn(kind, totals, meanSpeed));
+    }
+
+    private void learn(int kind, KindTotals totals, double meanSpeed) {
+        double stated = totals.listedWeight / totals.endpoints / meanListedWeight;
+        double shown =
+                totals.busyTime > 0 ? totals.completed / totals.busyTime / meanSpeed : stated;
+        double believed =
+                (totals.completed * shown + LISTED_WEIGHT_EVIDENCE * stated)
+                        / (totals.completed + LISTED_WEIGHT_EVIDENCE);
+        speedFactorByKind.put(kind, believed / stated);
     }
 
-    /** The speed that is expected; 1 is the mean of the servers on the list. */
+    /** The speed that is expected; 1 is the mean of the endpoints on the list. */
     double expected(Endpoint endpoint) {
-        return endpoint.listedWeight
-                / meanListedWeight
-                * speedFactorByKind.getOrDefault(endpoint.kind, 1.0);
+        double factor = speedFactorByKind.getOrDefault(endpoint.machineKind(), 1.0);
+        return endpoint.listedWeight() / meanListedWeight * factor;
     }
 }
--- /dev/null
+++ b/src/main/java/sprucelanding/control/decision/StarterTableScheduler.java
@@ -0,0 +1,83 @@
+package sprucelanding.control.decision;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/** Sends starter tables before proxies are bound to them, and keeps them filled. */
+final class StarterTableScheduler {
+    private final SplittableRandom random;
+    private final RoutingTables tables;
+    private final StarterTables starterTables;
+    private final WeightPolicy weights;
+    private final AdmissionScheduler admissions;
+
+    StarterTableScheduler(
+            SplittableRandom random,
+            RoutingTables tables,
+            StarterTables starterTables,
+            WeightPolicy weights,
+            AdmissionScheduler admissions) {
+        this.random = random;
+        this.tables = tables;
+        this.starterTables = starterTables;
+        this.weights = weights;
+        this.admissions = admissions;
+    }
+
+    /**
+     * Orders the next entry or admission of a starter table that nobody goes by yet; it costs
+     * nothing in the channel. False if all are sent.
+     */
+    boolean sendNext(ControllerOutput output) {
+        for (RoutingTable table : starterTables.unsentTables()) {
+            if (sendEntry(table, output) || admissions.sendFirst(table, output)) {
+                return true;
+            }
+            starterTables.sentCompletely(table);
+        }
+        return false;
+    }
+
+    private boolean sendEntry(RoutingTable table, ControllerOutput output) {
+        if (table.isCleared() || !table.users().isEmpty()) {
+            return false;
+        }
+        for (TableEntry entry : table.entries()) {
+            double weight = weights.effectiveWeight(entry);
+            if (entry.sentWeight() != weight) {
+                entry.markSent(weight);
+                output.setWeight(table.number(), entry.endpoint(), weight);
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Refills the starter tables that proxies go by, after the endpoint list was updated. */
+    void refill(List<Endpoint> available) {
+        for (RoutingTable table : tables.all()) {
+            if (table.isStarter() && !table.users().isEmpty()) {
+                refill(table, available);
+            }
+        }
+    }
+
+    /** A starter table that lost half of its endpoints takes others, drawn at random. */
+    private void refill(RoutingTable table, List<Endpoint> available) {
+        int size = starterTables.tableSize();
+        int missing = size - (int) weights.liveEntries(table);
+        if (2 * missing < size) {
+            return;
+        }
+        List<Endpoint> others = new ArrayList<>(available);
+        others.removeIf(
+                endpoint ->
+                        table.hasEntryOf(endpoint)
+                                || weights.effectiveWeight(table.fullTable().entryOf(endpoint)) == 0
+                                || !table.accepts(endpoint));
+        for (; missing > 0 && !others.isEmpty(); missing--) {
+            table.addFromFullTable(others.remove(random.nextInt(others.size())));
+        }
+    }
+}
--- a/src/main/java/sprucelanding/replay/capture/RecordingInput.java
+++ b/src/main/java/sprucelanding/replay/capture/RecordingInput.java
@@ -5,6 +5,7 @@
 import sprucelanding.control.core.ControllerInput;
 import sprucelanding.control.core.InputListener;
 import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
 import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.HealthCheckResult;
@@ -236,9 +237,9 @@
         }
 
         @Override
-        public void log(String text) {
-            append(EventType.LOG, text);
-            delegate.log(text);
+        public void log(DecisionEvent event) {
+            append(EventType.LOG, event.text());
+            delegate.log(event);
         }
     }
 }
--- a/src/main/java/sprucelanding/runtime/server/ControllerHost.java
+++ b/src/main/java/sprucelanding/runtime/server/ControllerHost.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
 import sprucelanding.control.decision.Proxy;
 import sprucelanding.control.decision.RequestClass;
@@ -279,7 +280,7 @@
     }
 
     @Override
-    public void log(String text) {
-        eventLog.log(text);
+    public void log(DecisionEvent event) {
+        eventLog.log(event.logLine());
     }
 }
--- a/src/main/java/sprucelanding/simulation/simulator/CommandEncoder.java
+++ b/src/main/java/sprucelanding/simulation/simulator/CommandEncoder.java
@@ -4,6 +4,7 @@
 import java.util.Base64;
 import java.util.BitSet;
 import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
 import sprucelanding.control.decision.Proxy;
 import sprucelanding.control.decision.RequestClass;
@@ -121,8 +122,8 @@
     }
 
     @Override
-    public void log(String text) {
-        beginCommand("WRITE_LOG").append('\t').append(text).append('\n');
+    public void log(DecisionEvent event) {
+        beginCommand("WRITE_LOG").append('\t').append(event.text()).append('\n');
     }
 
     void reportBug(Throwable failure) {
--- a/src/test/java/sprucelanding/control/decision/ChannelBudgetTest.java
+++ b/src/test/java/sprucelanding/control/decision/ChannelBudgetTest.java
@@ -10,19 +10,20 @@
 
 /** A channel of 3 lines a ms where 5000 may wait; a head costs 6 lines and a receipt one. */
 class ChannelBudgetTest {
-    private final ChannelBudget channel = new ChannelBudget(1000);
+    private final EventTime time = new EventTime();
+    private final ChannelBudget channel = new ChannelBudget(time);
     private final Proxy small = new Proxy(1, 0, true, 0, 10, 1);
     private final Proxy large = new Proxy(2, 0, true, 0, 10, 1);
     private int receipt;
 
     private void writes() {
         channel.configure(3, 6, 5000, 0, 10_000);
-        channel.setTime(1000);
-        assertTrue(channel.book(List.of(small), 3, ChannelBudget.FULL_SHARE, Purpose.LINE));
-        assertTrue(channel.book(List.of(large), 2983, ChannelBudget.FULL_SHARE, Purpose.BIND));
+        time.advanceTo(1000);
+        assertTrue(channel.book(List.of(small), 3, ChannelPriority.MANDATORY, Purpose.WEIGHT));
+        assertTrue(channel.book(List.of(large), 2983, ChannelPriority.MANDATORY, Purpose.BIND));
         assertEquals(3000, channel.queuedLines());
         receipt = channel.closeBatch(2);
-        channel.setTime(1200);
+        time.advanceTo(1200);
     }
 
     @Test
@@ -30,7 +31,7 @@
         writes();
         channel.acknowledged(small.id, receipt);
         assertEquals(2990, channel.queuedLines());
-        assertFalse(channel.book(List.of(small), 2100, ChannelBudget.FULL_SHARE, Purpose.REMOVAL));
+        assertFalse(channel.book(List.of(small), 2100, ChannelPriority.MANDATORY, Purpose.REMOVAL));
         channel.acknowledged(large.id, receipt);
         assertEquals(0, channel.queuedLines());
     }
@@ -45,9 +46,9 @@
     @Test
     void aConfirmationOfALaterMomentShowsThatAllBeforeHasLeft() {
         writes();
-        assertTrue(channel.book(List.of(small), 3, ChannelBudget.FULL_SHARE, Purpose.LINE));
+        assertTrue(channel.book(List.of(small), 3, ChannelPriority.MANDATORY, Purpose.WEIGHT));
         int later = channel.closeBatch(1);
-        channel.setTime(1400);
+        time.advanceTo(1400);
         channel.acknowledged(small.id, later);
         assertEquals(0, channel.queuedLines());
     }
--- a/src/test/java/sprucelanding/control/decision/FakeControllerHost.java
+++ b/src/test/java/sprucelanding/control/decision/FakeControllerHost.java
@@ -222,8 +222,8 @@
     }
 
     @Override
-    public void log(String text) {
-        log.add(text);
+    public void log(DecisionEvent event) {
+        log.add(event.text());
     }
 
     @Override
--- a/src/test/java/sprucelanding/control/decision/SpeedPriorTest.java
+++ b/src/test/java/sprucelanding/control/decision/SpeedPriorTest.java
@@ -64,9 +64,9 @@
     void withoutEvidenceTheListedWeightsStand() {
         SpeedPrior prior = new SpeedPrior();
         Endpoint light = new Endpoint(1);
-        light.updateListing(0, FAST, 1, 0);
+        light.setListing(0, FAST, 1, 0);
         Endpoint heavy = new Endpoint(2);
-        heavy.updateListing(0, SLOW, 3, 0);
+        heavy.setListing(0, SLOW, 3, 0);
         prior.learn(java.util.List.of(light, heavy), java.util.List.of());
         assertEquals(0.5, prior.expected(light), 1e-9);
         assertEquals(1.5, prior.expected(heavy), 1e-9);
--- a/src/test/java/sprucelanding/control/distribution/DistributorHarness.java
+++ b/src/test/java/sprucelanding/control/distribution/DistributorHarness.java
@@ -9,6 +9,7 @@
 import java.util.TreeMap;
 import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
 import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.Proxy;
@@ -239,7 +240,7 @@
     }
 
     @Override
-    public void log(String text) {
+    public void log(DecisionEvent event) {
         // nobody reads it
     }
 }
--- a/src/test/java/sprucelanding/runtime/server/UpdateEncoderTest.java
+++ b/src/test/java/sprucelanding/runtime/server/UpdateEncoderTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
 import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.Proxy;
@@ -181,7 +182,7 @@
     }
 
     @Override
-    public void log(String text) {
+    public void log(DecisionEvent event) {
         // not looked at
     }
 }
--- a/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
+++ b/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sprucelanding.control.decision.ControllerOutput;
+import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
 import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.Proxy;
@@ -191,7 +192,7 @@
     }
 
     @Override
-    public void log(String text) {
+    public void log(DecisionEvent event) {
         // the log is no part of the protocol
     }
 }
