--- a/src/test/java/sprucelanding/control/decision/FailoverDecisionsTest.java
+++ b/src/test/java/sprucelanding/control/decision/FailoverDecisionsTest.java
@@ -138,7 +138,7 @@
         inherit(host);
         host.run(2, () -> reports(host));
         assertTrue(
-                host.orders.stream().noneMatch(order -> order.startsWith("bar ")),
+                host.orders.stream().noneMatch(order -> order.startsWith("eject ")),
                 "each would cost a message to all");
     }
 
@@ -209,7 +209,7 @@
                         host.controller.endpointStatsReported(id, id == 2 ? 40 : 10, 0, 100, 0.5);
                     }
                 });
-        assertTrue(host.orders.contains("line"), "weights still move for the others");
+        assertTrue(host.orders.contains("weight"), "weights still move for the others");
     }
 
     @Test
@@ -218,6 +218,6 @@
         host.changeEndpoint(50, 0, EndpointState.DRAINING);
         host.controller.proxyJoined(7, 0, 10, false);
         host.run(2, () -> reports(host));
-        assertTrue(host.orders.contains("bar 50"), "its tables may hold it: " + host.orders);
+        assertTrue(host.orders.contains("eject 50"), "its tables may hold it: " + host.orders);
     }
 }
--- a/src/test/java/sprucelanding/control/decision/FakeControllerHost.java
+++ b/src/test/java/sprucelanding/control/decision/FakeControllerHost.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** A tiny host: it keeps what it is ordered, rings the bells and answers the probes. */
+/** A host without I/O: it keeps what it is ordered, fires the timers and answers health checks. */
 final class FakeControllerHost implements ControllerOutput {
     final RoutingController controller;
     final List<String> log = new ArrayList<>();
@@ -26,12 +26,11 @@
     final List<Long> pendingChecks = new ArrayList<>();
     final TreeMap<Double, List<Integer>> timers = new TreeMap<>();
 
-    /** Replicas whose probes get this answer; all others answer well. */
+    /** Endpoints whose health checks have this result; all others pass. */
     final Map<Long, HealthCheckResult> failingChecks = new LinkedHashMap<>();
 
     /**
-     * Whether receipts come: those of the message before, each time, from every proxy that it went
-     * to.
+     * Whether proxies acknowledge: with each message the one before, every proxy that it went to.
      */
     boolean acknowledgesMessages;
 
@@ -51,15 +50,14 @@
         controller.setTime(now);
     }
 
-    static RequestClass requestClass(int index, boolean inquiryLike, double revenue) {
-        return new RequestClass(
-                index, inquiryLike, revenue, 800, new BitSet(), new BitSet(), false);
+    static RequestClass requestClass(int index, boolean idempotent, double revenue) {
+        return new RequestClass(index, idempotent, revenue, 800, new BitSet(), new BitSet(), false);
     }
 
     /**
-     * A usual site: replicas 1 to n, dealt to three zones, and one proxy with 100 txns a second.
+     * An ordinary site: endpoints 1 to n in three zones, and one proxy with 100 requests a second.
      */
-    static FakeControllerHost ordinary(int n) {
+    static FakeControllerHost ordinary(int endpoints) {
         FakeControllerHost host =
                 new FakeControllerHost(
                         AdmissionMode.SHARE,
@@ -67,23 +65,23 @@
                         requestClass(0, true, 1),
                         requestClass(1, false, 2));
         host.controller.configureEndpointList(true, false, 0.2, 16_000);
-        host.listEndpoints(true, n);
+        host.listEndpoints(true, endpoints);
         host.controller.proxyJoined(9, 0, 100, true);
         host.settle();
         return host;
     }
 
-    /** A large one: many replicas, and many proxies that have just joined. */
-    static FakeControllerHost large(boolean drains, int replicas, int proxies) {
+    /** A large site: many endpoints, and many proxies that have just joined. */
+    static FakeControllerHost large(boolean acknowledges, int endpoints, int proxies) {
         FakeControllerHost host =
                 new FakeControllerHost(
                         AdmissionMode.SHARE,
                         0,
                         requestClass(0, true, 1),
                         requestClass(1, false, 2));
-        host.acknowledgesMessages = drains;
+        host.acknowledgesMessages = acknowledges;
         host.controller.configureEndpointList(true, false, 0.2, 16_000);
-        host.listEndpoints(true, replicas);
+        host.listEndpoints(true, endpoints);
         for (int id = 0; id < proxies; id++) {
             host.controller.proxyJoined(id, 0, 10, true);
         }
@@ -91,21 +89,53 @@
         return host;
     }
 
-    void listEndpoints(boolean first, int n) {
+    /** A site that limits messages to a proxy to twelve in ten seconds. */
+    static FakeControllerHost withMessageLimit() {
+        FakeControllerHost host =
+                new FakeControllerHost(AdmissionMode.SHARE, 12, requestClass(0, true, 1));
+        host.controller.configureEndpointList(true, false, 0.2, 16_000);
+        host.listEndpoints(true, 9);
+        host.controller.proxyJoined(9, 0, 100, true);
+        host.settle();
+        return host;
+    }
+
+    /** An endpoint drains and is back again, four times a second. */
+    void flap(int times) {
+        for (int i = 0; i < times; i++) {
+            now += 250;
+            controller.setTime(now);
+            changeEndpoint(9, 0, i % 2 == 0 ? EndpointState.DRAINING : EndpointState.AVAILABLE);
+            controller.healthCheckCompleted(9, HealthCheckResult.OK, Double.NaN);
+            controller.timerFired(1);
+            settle();
+        }
+    }
+
+    void listEndpoints(boolean first, int endpoints) {
         controller.endpointListStarted(true, first);
-        for (int id = 1; id <= n; id++) {
+        for (int id = 1; id <= endpoints; id++) {
             controller.endpointListed(id, id % 3, 0, 1, 0, EndpointState.AVAILABLE);
         }
         controller.endpointListCompleted();
     }
 
-    void changeEndpoint(long id, double startedAt, EndpointState stage) {
+    void changeEndpoint(long id, double startedAt, EndpointState state) {
         controller.endpointListStarted(false, false);
-        controller.endpointListed(id, (int) (id % 3), 0, 1, startedAt, stage);
+        controller.endpointListed(id, (int) (id % 3), 0, 1, startedAt, state);
         controller.endpointListCompleted();
         settle();
     }
 
+    /** Endpoints 1 to n report that load, and complete as many attempts, all of them. */
+    void reportHealthy(int endpoints, double load, int attempts) {
+        for (long id = 1; id <= endpoints; id++) {
+            controller.endpointStatsReported(id, attempts, 0, load < 1 ? 200 : 700, load);
+        }
+        controller.demandReported(9, 0, 60, 1000);
+        controller.demandReported(9, 1, 40, 1000);
+    }
+
     /** Pulls decisions until there is none. */
     void settle() {
         messageWritten = false;
@@ -118,7 +148,7 @@
         lastMessageTime = messageWritten ? now : lastMessageTime;
     }
 
-    /** Lets time pass; at each second the story's reports come in. */
+    /** Lets time pass; at each second the reports of the test come in. */
     void run(int seconds, Runnable reports) {
         double end = now + seconds * 1000.0;
         for (double second = now + 1000; second <= end; second += 1000) {
@@ -159,7 +189,7 @@
         if (!(weight >= 0) || Double.isInfinite(weight)) {
             throw new AssertionError("weight " + weight);
         }
-        orders.add("line");
+        orders.add("weight");
         messageWritten = true;
         messageUsersOf(table);
         tables.computeIfAbsent(table, t -> new TreeMap<>()).put(endpoint.id, weight);
@@ -227,8 +257,8 @@
     }
 
     @Override
-    public void setEjected(Endpoint endpoint, boolean out) {
-        orders.add((out ? "bar " : "lift ") + endpoint.id);
+    public void setEjected(Endpoint endpoint, boolean ejected) {
+        orders.add((ejected ? "eject " : "restore ") + endpoint.id);
     }
 
     @Override
--- /dev/null
+++ b/src/test/java/sprucelanding/control/decision/SlowStartDecisionsTest.java
@@ -0,0 +1,147 @@
+package sprucelanding.control.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Endpoints that warm up get the traffic that they can take. */
+class SlowStartDecisionsTest {
+    @Test
+    void restartedEndpointStartsSlowly() {
+        FakeControllerHost host = FakeControllerHost.ordinary(6);
+        host.run(5, () -> host.reportHealthy(6, 0.5, 10));
+        double before = host.weight(1);
+        host.changeEndpoint(1, host.now, EndpointState.AVAILABLE);
+        assertTrue(host.weight(1) <= before / 8);
+        host.run(2, () -> host.reportHealthy(6, 0.5, 10));
+        assertTrue(host.weight(1) <= before / 3);
+    }
+
+    @Test
+    void restartedGovernorStartsWarmingEndpointsSlowly() {
+        FakeControllerHost host =
+                new FakeControllerHost(
+                        AdmissionMode.SHARE, 0, FakeControllerHost.requestClass(0, true, 1));
+        host.controller.configureEndpointList(true, false, 0.2, 16_000);
+        host.controller.endpointListStarted(true, true);
+        host.controller.endpointListed(1, 0, 0, 1, host.now - 10_000, EndpointState.AVAILABLE);
+        host.controller.endpointListed(2, 0, 0, 1, 0, EndpointState.AVAILABLE);
+        host.controller.endpointListCompleted();
+        host.controller.proxyJoined(9, 0, 100, true);
+        host.settle();
+        assertTrue(host.weight(1) > 0 && host.weight(1) < 0.8 * host.weight(2));
+    }
+
+    @Test
+    void warmingEndpointsWaitWhileRequestsFailOrProxiesAreNew() {
+        FakeControllerHost host = FakeControllerHost.ordinary(6);
+        host.run(5, () -> host.reportHealthy(6, 0.5, 10));
+        host.run(
+                2,
+                () -> {
+                    for (long id = 1; id <= 6; id++) {
+                        host.controller.endpointStatsReported(id, 20, 12, 700, 1);
+                    }
+                });
+        host.changeEndpoint(1, host.now, EndpointState.AVAILABLE);
+        assertEquals(0, host.weight(1));
+        host.run(6, () -> host.reportHealthy(6, 0.5, 10));
+        assertTrue(host.weight(1) > 0);
+        host.controller.proxyJoined(10, 0, 50, false);
+        host.run(1, () -> host.reportHealthy(6, 0.5, 10));
+        assertEquals(0, host.weight(1));
+    }
+
+    @Test
+    void fewRejoiningProxiesDoNotHoldWarmingEndpointsBack() {
+        FakeControllerHost host = FakeControllerHost.ordinary(6);
+        host.controller.proxyJoined(10, 0, 5, true);
+        host.run(5, () -> host.reportHealthy(6, 0.5, 10));
+        host.changeEndpoint(1, host.now, EndpointState.AVAILABLE);
+        host.run(
+                3,
+                () -> {
+                    host.controller.proxyJoined(10, 0, 5, false);
+                    host.reportHealthy(6, 0.5, 10);
+                });
+        assertTrue(host.weight(1) > 0);
+    }
+
+    @Test
+    void startedEndpointStartsAtItsCapacityAndReturningOneAtATenth() {
+        FakeControllerHost host =
+                new FakeControllerHost(
+                        AdmissionMode.SHARE,
+                        0,
+                        FakeControllerHost.requestClass(0, true, 1),
+                        FakeControllerHost.requestClass(1, false, 2));
+        host.controller.configureEndpointList(true, false, 0.8, 1000);
+        host.listEndpoints(true, 6);
+        host.controller.proxyJoined(9, 0, 100, true);
+        host.settle();
+        host.run(5, () -> host.reportHealthy(6, 0.5, 10));
+        host.changeEndpoint(1, host.now, EndpointState.AVAILABLE);
+        host.run(2, () -> host.reportHealthy(6, 0.5, 10));
+        assertTrue(
+                host.weight(1) > 0.7 * host.weight(2),
+                "new at " + host.weight(1) + " beside " + host.weight(2));
+        host.run(
+                4,
+                () -> {
+                    host.reportHealthy(6, 0.5, 10);
+                    host.controller.endpointStatsReported(3, 60, 60, 0, 0.5);
+                });
+        assertEquals(0, host.weight(3));
+        for (int second = 0; host.weight(3) == 0 && second < 10; second++) {
+            host.run(1, () -> host.reportHealthy(6, 0.5, 10));
+        }
+        assertTrue(
+                host.weight(3) > 0 && host.weight(3) < 0.3 * host.weight(2),
+                "back at " + host.weight(3));
+    }
+
+    @Test
+    void fleetThatWarmsUpByHalfDoesNotWait() {
+        FakeControllerHost host = FakeControllerHost.ordinary(6);
+        host.run(5, () -> host.reportHealthy(6, 0.5, 10));
+        for (long id = 1; id <= 4; id++) {
+            host.changeEndpoint(id, host.now - 1, EndpointState.AVAILABLE);
+        }
+        host.run(
+                3,
+                () -> {
+                    for (long id = 1; id <= 6; id++) {
+                        host.controller.endpointStatsReported(id, 20, 12, 700, 1);
+                    }
+                });
+        for (long id = 1; id <= 4; id++) {
+            assertTrue(host.weight(id) > 0, "replica " + id);
+        }
+    }
+
+    @Test
+    void mostlyWarmingFleetStillGivesWarmingEndpointsTheirShare() {
+        FakeControllerHost host =
+                new FakeControllerHost(
+                        AdmissionMode.SHARE,
+                        0,
+                        FakeControllerHost.requestClass(0, true, 1),
+                        FakeControllerHost.requestClass(1, false, 2));
+        host.acknowledgesMessages = true;
+        host.controller.configureEndpointList(true, false, 0.4, 16_000);
+        host.listEndpoints(true, 10);
+        host.controller.proxyJoined(9, 0, 100, true);
+        host.settle();
+        host.run(10, () -> host.reportHealthy(10, 0.5, 10));
+        double started = host.now;
+        for (long id = 1; id <= 6; id++) {
+            host.changeEndpoint(id, started, EndpointState.AVAILABLE);
+        }
+        host.run(6, () -> host.reportHealthy(10, 0.5, 10));
+        double share = 0.4 + 0.6 * (host.now - started) / 16_000;
+        assertTrue(
+                host.weight(1) > 0.8 * share * host.weight(8),
+                host.weight(1) + " beside " + host.weight(8) + ", can do " + share);
+    }
+}
--- /dev/null
+++ b/src/test/java/sprucelanding/control/decision/SubsetDecisionsTest.java
@@ -0,0 +1,116 @@
+package sprucelanding.control.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+
+/** Proxies go by subsets where full tables cost too much. */
+class SubsetDecisionsTest {
+    /**
+     * Proxies that a channel of 3 lines a ms cannot lay whole tables of 200 for within a grace of 4
+     * s.
+     */
+    private static FakeControllerHost hostWithManyProxies() {
+        FakeControllerHost host =
+                new FakeControllerHost(
+                        AdmissionMode.SHARE,
+                        0,
+                        FakeControllerHost.requestClass(0, true, 1),
+                        FakeControllerHost.requestClass(1, false, 2));
+        host.acknowledgesMessages = true;
+        host.controller.configureEndpointList(true, false, 0.2, 16_000);
+        host.controller.configureFleet(300, 5, 4000, 800);
+        host.listEndpoints(true, 200);
+        for (int id = 0; id < 120; id++) {
+            host.controller.proxyJoined(id, 0, 10, false);
+        }
+        host.settle();
+        host.run(5, () -> host.reportHealthy(200, 0.5, 10));
+        return host;
+    }
+
+    private static void assertEachEndpointIsInASubset(FakeControllerHost host, long from, long to) {
+        TreeSet<Long> held = new TreeSet<>();
+        for (int place : new TreeSet<>(host.tableByProxy.values())) {
+            long lines = host.tables.get(place).values().stream().filter(w -> w > 0).count();
+            assertTrue(lines >= 16 && lines < 100, lines + " lines in a table");
+            host.tables
+                    .get(place)
+                    .forEach(
+                            (id, weight) -> {
+                                if (weight > 0) {
+                                    held.add(id);
+                                }
+                            });
+        }
+        assertEquals(to - from + 1, held.size());
+        assertEquals(from, held.first());
+        assertEquals(to, held.last());
+    }
+
+    @Test
+    void connectionShortagePutsProxiesOnSmallTables() {
+        FakeControllerHost host = FakeControllerHost.large(true, 30, 24);
+        host.run(10, () -> host.reportHealthy(30, 0.4, 10));
+        host.run(
+                10,
+                () -> {
+                    for (long id = 1; id <= 30; id++) {
+                        host.controller.endpointStatsReported(id, 10, 7, 200, 0.4);
+                    }
+                });
+        assertTrue(host.logged("tables of few"));
+        assertTrue(new TreeSet<>(host.tableByProxy.values()).size() > 5);
+        for (int place : host.tableByProxy.values()) {
+            assertTrue(host.tables.get(place).size() >= 3 && host.tables.get(place).size() < 20);
+        }
+        host.run(90, () -> host.reportHealthy(30, 0.4, 10));
+        assertTrue(host.logged("tables whole"));
+        assertEquals(1, new TreeSet<>(host.tableByProxy.values()).size());
+        assertEquals(30, host.tables.get(host.tableByProxy.get(0)).size());
+        assertEquals(1, host.tables.size(), "what nobody goes by is cleared");
+    }
+
+    @Test
+    void proxiesGoBySubsetsWhereFullTablesCannotReachAllInTime() {
+        FakeControllerHost host = hostWithManyProxies();
+        assertEquals(120, host.boundClassesByProxy.size(), "all are bound, whatever they brought");
+        assertEachEndpointIsInASubset(host, 1, 200);
+        int tables = new TreeSet<>(host.tableByProxy.values()).size();
+        assertTrue(tables > 8, tables + " parts");
+        for (int place : host.tableByProxy.values()) {
+            long users = host.tableByProxy.values().stream().filter(p -> p == place).count();
+            assertTrue(users <= 120 / tables + 1, users + " of 120 proxies on one of " + tables);
+        }
+    }
+
+    @Test
+    void joiningProxyGoesToTheSubsetOfLeastTraffic() {
+        FakeControllerHost host = hostWithManyProxies();
+        host.controller.proxyLeft(50);
+        int place = host.tableByProxy.remove(50);
+        host.controller.proxyJoined(200, 1, 10, true);
+        host.run(2, () -> host.reportHealthy(200, 0.5, 10));
+        assertEquals(place, host.tableByProxy.get(200));
+    }
+
+    @Test
+    void subsetsTakeNewEndpointsForThoseThatLeft() {
+        FakeControllerHost host = hostWithManyProxies();
+        for (int step = 0; step < 10; step++) {
+            host.controller.endpointListStarted(false, false);
+            for (long id = 1 + 12 * step; id <= 12 + 12 * step; id++) {
+                host.controller.endpointListed(id, (int) (id % 3), 0, 1, 0, EndpointState.DRAINING);
+                host.controller.endpointListed(
+                        200 + id, (int) (id % 3), 0, 1, host.now, EndpointState.AVAILABLE);
+            }
+            host.controller.endpointListCompleted();
+            host.settle();
+            host.run(1, () -> host.reportHealthy(320, 0.5, 10));
+        }
+        host.run(20, () -> host.reportHealthy(320, 0.5, 10));
+        assertEachEndpointIsInASubset(host, 121, 320);
+    }
+}
--- /dev/null
+++ b/src/test/java/sprucelanding/control/decision/WeightDecisionsTest.java
@@ -0,0 +1,155 @@
+package sprucelanding.control.decision;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.BitSet;
+import org.junit.jupiter.api.Test;
+
+/** Weights follow speed, within what the reports can tell. */
+class WeightDecisionsTest {
+    @Test
+    void weightsSettleInProportionToSpeed() {
+        FakeControllerHost host = FakeControllerHost.ordinary(6);
+        host.run(
+                30,
+                () -> {
+                    host.reportHealthy(6, 0.5, 10);
+                    host.controller.endpointStatsReported(1, 10, 0, 200, Double.NaN);
+                });
+        assertEquals(2, host.weight(1) / host.weight(2), 0.5);
+        assertTrue(host.messages < 31, "one message a turn at most, for " + host.messages);
+    }
+
+    @Test
+    void implausibleReportsNeverGiveImplausibleWeights() {
+        FakeControllerHost host = FakeControllerHost.ordinary(4);
+        host.run(
+                20,
+                () -> {
+                    host.controller.endpointStatsReported(1, 0, 0, 0, 0);
+                    host.controller.endpointStatsReported(2, 5, 9, -3, Double.NaN);
+                    host.controller.endpointStatsReported(3, -4, -9, 1e12, -1);
+                    host.controller.endpointStatsReported(4, 1, 0, Double.MAX_VALUE, 1e300);
+                    host.controller.endpointStatsReported(77, 1, 0, 1, 1);
+                    host.controller.demandReported(9, 5, 1, 1000);
+                    host.controller.demandReported(9, 0, -1, -1000);
+                    host.controller.healthCheckCompleted(78, HealthCheckResult.OK, 0.5);
+                });
+        assertTrue(host.weight(1) > 0);
+    }
+
+    @Test
+    void slowEndpointLosesWeightButNoisyLoadDoesNotZeroIt() {
+        FakeControllerHost host = FakeControllerHost.ordinary(6);
+        host.run(4, () -> host.reportHealthy(6, 0.5, 10));
+        host.run(
+                6,
+                () -> {
+                    host.reportHealthy(5, 0.5, 10);
+                    host.controller.endpointStatsReported(
+                            6, 3, 0, 900, host.now % 2000 == 0 ? 1 : 0.85);
+                });
+        assertTrue(host.weight(6) > 0 && host.weight(6) < host.weight(1) / 2);
+    }
+
+    @Test
+    void nearSaturationNoEndpointIsZeroedOrStarved() {
+        FakeControllerHost host = FakeControllerHost.ordinary(6);
+        host.run(4, () -> host.reportHealthy(6, 0.8, 10));
+        host.run(
+                12,
+                () -> {
+                    for (long id = 1; id <= 6; id++) {
+                        host.controller.endpointStatsReported(id, 10, 0, 700, id <= 3 ? 1 : 0.85);
+                    }
+                    host.controller.demandReported(9, 0, 100, 1000);
+                });
+        for (long id = 1; id <= 6; id++) {
+            assertTrue(host.weight(id) > host.weight(6) / 2, "replica " + id);
+        }
+    }
+
+    @Test
+    void classOfFewEndpointsHasItsOwnTableAndOthersLeaveCapacity() {
+        FakeControllerHost host =
+                new FakeControllerHost(
+                        AdmissionMode.SHARE,
+                        0,
+                        FakeControllerHost.requestClass(0, true, 1),
+                        new RequestClass(
+                                1,
+                                false,
+                                3,
+                                600,
+                                BitSet.valueOf(new long[] {2}),
+                                new BitSet(),
+                                false));
+        host.controller.configureEndpointList(true, false, 0.2, 16_000);
+        host.controller.endpointListStarted(true, true);
+        for (long id = 1; id <= 6; id++) {
+            host.controller.endpointListed(id, 0, id <= 3 ? 1 : 0, 1, 0, EndpointState.AVAILABLE);
+        }
+        host.controller.endpointListCompleted();
+        host.controller.proxyJoined(9, 0, 100, true);
+        host.settle();
+        assertEquals(3, host.tables.get(1).size());
+        host.run(20, () -> host.reportHealthy(6, 0.5, 10));
+        assertTrue(host.weight(1) < host.weight(4) / 2);
+        assertFalse(host.tables.get(1).containsKey(4L));
+    }
+
+    @Test
+    void loadOfHealthCheckIsNotOverwrittenByOlderReport() {
+        FakeControllerHost host = FakeControllerHost.ordinary(6);
+        host.run(
+                12,
+                () -> {
+                    for (long id = 1; id <= 6; id++) {
+                        host.controller.healthCheckCompleted(id, HealthCheckResult.OK, 0.4);
+                    }
+                    host.reportHealthy(6, 0.99, 10);
+                });
+        assertEquals(1, host.admittedByClass.get(0));
+    }
+
+    @Test
+    void moreThanSixtyFourClassesKindsAndZonesAreToldApart() {
+        RequestClass[] requestClasses = new RequestClass[70];
+        for (int k = 0; k < requestClasses.length; k++) {
+            BitSet kinds = new BitSet();
+            kinds.set(k);
+            requestClasses[k] = new RequestClass(k, true, 1, 800, kinds, new BitSet(), false);
+        }
+        FakeControllerHost host = new FakeControllerHost(AdmissionMode.SHARE, 0, requestClasses);
+        host.controller.configureEndpointList(true, false, 0.2, 16_000);
+        host.controller.endpointListStarted(true, true);
+        host.controller.endpointListed(1, 68, 5, 1, 0, EndpointState.AVAILABLE);
+        host.controller.endpointListed(2, 69, 69, 1, 0, EndpointState.AVAILABLE);
+        host.controller.endpointListCompleted();
+        host.controller.proxyJoined(9, 68, 100, true);
+        host.settle();
+        assertEquals(1, host.tables.get(5).size());
+        assertTrue(host.tables.get(69).containsKey(2L));
+        assertFalse(host.tables.containsKey(68));
+        assertEquals(2, host.orders.stream().filter("bind"::equals).count());
+    }
+
+    @Test
+    void additionGoesBeforeOrdinaryWeightChanges() {
+        FakeControllerHost host = FakeControllerHost.large(true, 20, 240);
+        Runnable uneven =
+                () -> {
+                    for (long id = 1; id <= 20; id++) {
+                        boolean loaded = (id + (long) (host.now / 3000)) % 3 == 0;
+                        host.controller.endpointStatsReported(
+                                id, loaded ? 5 : 25, 0, 200, loaded ? 0.9 : 0.45);
+                    }
+                };
+        host.run(12, uneven);
+        host.changeEndpoint(21, host.now - 1000, EndpointState.AVAILABLE);
+        host.run(3, uneven);
+        assertTrue(host.weight(21) > 0, "five seconds without the order of ranks");
+    }
+}
