--- a/src/main/java/sprucelanding/control/decision/AdmissionController.java
+++ b/src/main/java/sprucelanding/control/decision/AdmissionController.java
@@ -150,14 +150,14 @@
                         .sorted()
                         .toArray();
         double left = share * requestClass.demand();
-        int i = 0;
-        while (i < demands.length && demands[i] * (demands.length - i) < left) {
-            left -= demands[i];
-            i++;
+        int spared = 0;
+        while (spared < demands.length && demands[spared] * (demands.length - spared) < left) {
+            left -= demands[spared];
+            spared++;
         }
-        return i == demands.length
+        return spared == demands.length
                 ? UNLIMITED_RATE
-                : Math.max(MIN_RATE, left / (demands.length - i));
+                : Math.max(MIN_RATE, left / (demands.length - spared));
     }
 
     /**
--- a/src/main/java/sprucelanding/control/decision/DrainReporter.java
+++ b/src/main/java/sprucelanding/control/decision/DrainReporter.java
@@ -16,8 +16,7 @@
     private final ProxyRegistry proxies;
     private final ChannelBudget channel;
     private final DrainTracker drains;
-    private final StarterTables starterTables;
-    private final BindScheduler binds;
+    private final OutputScheduler scheduler;
 
     /** Without acknowledgements that name their proxy it is not known what is overdue. */
     private boolean acknowledgementsNameProxy;
@@ -28,15 +27,13 @@
             ProxyRegistry proxies,
             ChannelBudget channel,
             DrainTracker drains,
-            StarterTables starterTables,
-            BindScheduler binds) {
+            OutputScheduler scheduler) {
         this.time = time;
         this.log = log;
         this.proxies = proxies;
         this.channel = channel;
         this.drains = drains;
-        this.starterTables = starterTables;
-        this.binds = binds;
+        this.scheduler = scheduler;
     }
 
     /** The host says which proxy acknowledged a message. */
@@ -53,7 +50,7 @@
         reportOverdue();
         int unbound = drains.unbound();
         int notOrdered = drains.notOrdered();
-        int bindsSent = binds.takeBindsSent();
+        int bindsSent = scheduler.takeBindsSent();
         if (unbound > 0 || notOrdered > 0) {
             log.add(
                     new DecisionEvent.DrainStatus(
@@ -63,8 +60,8 @@
                             drains.overdue(),
                             Math.round(channel.queuedLines()),
                             Math.round(1000 * channel.measuredRate()),
-                            starterTables.users().size(),
-                            starterTables.tableSize(),
+                            scheduler.starterTableUsers(),
+                            scheduler.starterTableSize(),
                             booked,
                             bindsSent));
         }
--- a/src/main/java/sprucelanding/control/decision/RoutingController.java
+++ b/src/main/java/sprucelanding/control/decision/RoutingController.java
@@ -1,7 +1,5 @@
 package sprucelanding.control.decision;
 
-import java.util.Collection;
-import java.util.List;
 import java.util.SplittableRandom;
 
 /**
@@ -21,9 +19,8 @@
  *   <li>{@link AdmissionController}: how much is admitted
  *   <li>{@link DrainTracker}: what proxies owe for endpoints that left
  *   <li>{@link ChannelBudget}: what the channel to the proxies can carry
- *   <li>{@link EjectionQueue}, {@link BindScheduler}, {@link WeightUpdateScheduler}, {@link
- *       AdmissionScheduler}, {@link HealthCheckScheduler}, {@link StarterTableScheduler}, {@link
- *       UnusedTableCleaner}: what is ordered next
+ *   <li>{@link StateUpdater}: the order in which these follow the list and the reports
+ *   <li>{@link OutputScheduler}: what is ordered next; it lists the schedulers
  * </ul>
  *
  * <p>Instances share nothing, and the same events give the same orders. Not thread-safe: all calls
@@ -48,16 +45,10 @@
     private final HealthCheckScheduler healthChecks;
     private final AdmissionController admission;
     private final WeightPolicy weights;
-    private final OutlierDetector outliers;
     private final SubsetAllocator subsets;
-    private final StarterTables starterTables;
-    private final BindScheduler binds;
-    private final EjectionQueue ejections;
-    private final WeightUpdateScheduler weightUpdates;
-    private final AdmissionScheduler admissions;
-    private final StarterTableScheduler starterTableUpdates;
-    private final UnusedTableCleaner unusedTables;
+    private final OutputScheduler scheduler;
     private final DrainReporter drainReporter;
+    private final StateUpdater updater;
     private boolean updateDue = true;
 
     /** Ordinary changes may begin new messages: from a periodic update until all is sent. */
@@ -82,46 +73,46 @@
         healthChecks = new HealthCheckScheduler(time, random);
         admission = new AdmissionController(time, requestClasses);
         weights = new WeightPolicy(time, slowStart, speedPrior, loads, tables, requestClasses);
-        outliers = new OutlierDetector(time, log, tables, loads, weights, admission, healthChecks);
         subsets =
                 new SubsetAllocator(
                         time, log, random, tables, proxies, loads, weights, this::tablesChanged);
-        starterTables = new StarterTables(tables, random);
-        binds =
-                new BindScheduler(
+        scheduler = createScheduler(random, admissionMode);
+        drainReporter = new DrainReporter(time, log, proxies, channel, drains, scheduler);
+        updater =
+                new StateUpdater(
                         time,
+                        log,
+                        requestClasses,
+                        endpoints,
                         proxies,
                         tables,
                         channel,
-                        drains,
-                        joins,
+                        healthChecks,
+                        loads,
                         weights,
                         admission,
-                        starterTables,
-                        endpoints,
-                        requestClasses.length);
-        ejections = new EjectionQueue(time, proxies, tables, channel, drains, joins, binds);
-        weightUpdates =
-                new WeightUpdateScheduler(
-                        time, tables, proxies, channel, drains, weights, slowStart, admission,
-                        binds);
-        admissions =
-                new AdmissionScheduler(
-                        time,
-                        admissionMode,
-                        requestClasses,
-                        tables,
-                        proxies,
-                        channel,
-                        admission,
-                        loads,
-                        binds);
-        starterTableUpdates =
-                new StarterTableScheduler(random, tables, starterTables, weights, admissions);
-        unusedTables =
-                new UnusedTableCleaner(tables, starterTables, channel, weightUpdates::invalidate);
-        drainReporter =
-                new DrainReporter(time, log, proxies, channel, drains, starterTables, binds);
+                        subsets,
+                        scheduler,
+                        drainReporter);
+    }
+
+    private OutputScheduler createScheduler(SplittableRandom random, AdmissionMode admissionMode) {
+        return new OutputScheduler(
+                time,
+                random,
+                requestClasses,
+                admissionMode,
+                endpoints,
+                proxies,
+                tables,
+                channel,
+                drains,
+                joins,
+                slowStart,
+                loads,
+                weights,
+                admission,
+                healthChecks);
     }
 
     /**
@@ -173,8 +164,7 @@
         double grace = drainGrace > 0 ? drainGrace : Double.POSITIVE_INFINITY;
         channel.setMaxTransitTime(maxTransitTime);
         drains.setGrace(grace);
-        binds.configure(grace);
-        weightUpdates.configure(grace);
+        scheduler.configure(grace);
         joins.configure(fleetProxies, governors);
         subsets.configure(channel, joins.usualProxies(), requestClasses.length);
     }
@@ -331,8 +321,7 @@
         subsets.assign(proxy);
         drains.proxyJoined(id, time.now(), channel.nextMessage());
         joins.proxyJoined();
-        binds.proxyJoined();
-        ejections.proxyJoined();
+        scheduler.proxyJoined();
     }
 
     /** A proxy's stream has ended; nothing if it was not joined. */
@@ -340,7 +329,7 @@
         Proxy proxy = proxies.remove(id);
         drains.proxyLeft(id);
         if (proxy != null) {
-            starterTables.release(proxy);
+            scheduler.proxyLeft(proxy);
             tables.proxyLeft(proxy);
         }
     }
@@ -348,14 +337,13 @@
     /** Gives the next order for what is known; false if there is none until the next event. */
     public boolean decide(ControllerOutput output) {
         if (endpoints.hasChanged() || updateDue) {
-            weightUpdates.invalidate();
+            scheduler.weightsChanged();
         }
         if (updateDue) {
-            binds.invalidatePlan();
+            scheduler.tablesChanged();
         }
         if (endpoints.takeChanged()) {
-            followEndpointList();
-            ejectUnresponsive();
+            updater.followEndpointList();
         }
         if (updateDue) {
             updateDue = false;
@@ -363,37 +351,20 @@
             time.updateStarted();
             // first: an update that fails must not be the last
             output.setTimer(UPDATE_TIMER, time.now() + EventTime.UPDATE_INTERVAL);
-            periodicUpdate();
+            updater.periodicUpdate();
             return true;
         }
         if (!log.isEmpty()) {
             output.log(log.poll());
             return true;
         }
-        if (sendNext(output)) {
+        if (scheduler.sendNext(output, endpoints.all(), mayBeOrdinary)) {
             return true;
         }
         mayBeOrdinary = false;
         return requestAcknowledgement(output) || healthChecks.setTimer(output);
     }
 
-    /** The order of what is to be sent: what has a deadline, then what moves traffic. */
-    private boolean sendNext(ControllerOutput output) {
-        if (healthChecks.sendDueCheck(output) || ejections.sendNext(output, endpoints.all())) {
-            return true;
-        }
-        if (ejections.isWaitingForRoom()) {
-            return false;
-        }
-        return unusedTables.sendNext(output)
-                || starterTableUpdates.sendNext(output)
-                || binds.hasDeadline() && binds.sendNext(output)
-                || admission.isOverloaded() && admissions.sendNext(output, mayBeOrdinary)
-                || weightUpdates.sendNext(output, mayBeOrdinary)
-                || binds.sendNext(output)
-                || admissions.sendNext(output, mayBeOrdinary);
-    }
-
     /** Acknowledgements tell how much of the channel has drained. */
     private boolean requestAcknowledgement(ControllerOutput output) {
         if (!channel.hasOpenBatch()) {
@@ -405,74 +376,11 @@
     }
 
     private void endpointNamed(Endpoint endpoint) {
-        ejections.add(endpoint);
+        scheduler.endpointNamed(endpoint);
     }
 
     private void tablesChanged() {
-        weightUpdates.invalidate();
-        binds.invalidatePlan();
-    }
-
-    /** Makes the tables follow the list; what is new on it goes through the slow start. */
-    private void followEndpointList() {
-        endpoints.refreshAvailable();
-        List<Endpoint> available = endpoints.available();
-        for (Endpoint endpoint : available) {
-            if (endpoint.isEnteringService()) {
-                enterService(endpoint);
-            }
-        }
-        double demand = Sums.of(List.of(requestClasses), RequestClass::demand);
-        healthChecks.scheduleChecks(available, demand, endpoints.isFirstList());
-        endpoints.followed();
-        if (endpoints.takeListUpdated()) {
-            subsets.endpointListUpdated(available);
-            starterTableUpdates.refill(available);
-        }
-    }
-
-    private void enterService(Endpoint endpoint) {
-        boolean onFirstList = endpoints.isFirstList();
-        loads.newProcessStarted(endpoint, onFirstList);
-        endpoint.healthChecks().newProcessStarted();
-        // what is on a wrong list would fail requests: it has to pass a check first
-        endpoint.ejection().newProcessStarted(healthChecks.isEnabled() && !onFirstList);
-        weights.beginSlowStart(endpoint, endpoints.available(), onFirstList);
-    }
-
-    private void ejectUnresponsive() {
-        List<Endpoint> available = endpoints.available();
-        outliers.ejectUnresponsive(available);
-        starterTables.releaseUsersOf(table -> weights.liveEntries(table) == 0);
-        for (RoutingTable fullTable : tables.full()) {
-            outliers.restoreIfNoneLeft(fullTable);
-            subsets.reallocateIfEmptied(fullTable, available);
-        }
-    }
-
-    /** Once in an update interval: takes stock, and moves weights and admissions. */
-    private void periodicUpdate() {
-        Collection<Endpoint> forgotten = endpoints.forgetLongGone();
-        if (!forgotten.isEmpty()) {
-            ejections.forget(forgotten);
-            weightUpdates.invalidate();
-        }
-        drainReporter.report();
-        binds.releaseStarterTables();
-        channel.measureRate();
-
-        List<Endpoint> available = endpoints.available();
-        LoadSummary summary = loads.update(available, admission.isOverloaded());
-        outliers.update(available, subsets.isAtRest());
-        loads.updateSpeeds(available, summary);
-        admission
-                .update(proxies.all(), summary.load(), summary.responseTime(), loads.failureShare())
-                .ifPresent(log::add);
-        weights.updateWarmingHold(available, proxies);
-        ejectUnresponsive();
-        subsets.resize(available, summary.load(), admission.isOverloaded());
-        if (summary.busyTime() > 0) {
-            weights.updateWeights(available);
-        }
+        scheduler.weightsChanged();
+        scheduler.tablesChanged();
     }
 }
--- a/src/main/java/sprucelanding/control/decision/RoutingTables.java
+++ b/src/main/java/sprucelanding/control/decision/RoutingTables.java
@@ -1,6 +1,7 @@
 package sprucelanding.control.decision;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -84,7 +85,7 @@
         tables.forEach(table -> table.proxyLeft(proxy));
     }
 
-    void endpointsForgotten(java.util.Collection<Endpoint> endpoints) {
+    void endpointsForgotten(Collection<Endpoint> endpoints) {
         tables.forEach(table -> table.removeEntriesOf(endpoints));
     }
 }
--- /dev/null
+++ b/src/main/java/sprucelanding/control/decision/StateUpdater.java
@@ -0,0 +1,123 @@
+package sprucelanding.control.decision;
+
+import java.util.Collection;
+import java.util.List;
+
+/**
+ * Brings what is known and decided up to date: when the endpoint list or a health check changed
+ * something, and once in each update interval. It has the order of the steps; the modules that it
+ * calls decide.
+ */
+final class StateUpdater {
+    private final DecisionLog log;
+    private final RequestClass[] requestClasses;
+    private final EndpointRegistry endpoints;
+    private final ProxyRegistry proxies;
+    private final RoutingTables tables;
+    private final ChannelBudget channel;
+    private final HealthCheckScheduler healthChecks;
+    private final LoadEstimator loads;
+    private final WeightPolicy weights;
+    private final AdmissionController admission;
+    private final SubsetAllocator subsets;
+    private final OutputScheduler scheduler;
+    private final DrainReporter drainReporter;
+    private final OutlierDetector outliers;
+
+    StateUpdater(
+            EventTime time,
+            DecisionLog log,
+            RequestClass[] requestClasses,
+            EndpointRegistry endpoints,
+            ProxyRegistry proxies,
+            RoutingTables tables,
+            ChannelBudget channel,
+            HealthCheckScheduler healthChecks,
+            LoadEstimator loads,
+            WeightPolicy weights,
+            AdmissionController admission,
+            SubsetAllocator subsets,
+            OutputScheduler scheduler,
+            DrainReporter drainReporter) {
+        this.log = log;
+        this.requestClasses = requestClasses;
+        this.endpoints = endpoints;
+        this.proxies = proxies;
+        this.tables = tables;
+        this.channel = channel;
+        this.healthChecks = healthChecks;
+        this.loads = loads;
+        this.weights = weights;
+        this.admission = admission;
+        this.subsets = subsets;
+        this.scheduler = scheduler;
+        this.drainReporter = drainReporter;
+        outliers = new OutlierDetector(time, log, tables, loads, weights, admission, healthChecks);
+    }
+
+    /**
+     * Makes the tables follow the list and the health checks; what is new on the list goes through
+     * the slow start.
+     */
+    void followEndpointList() {
+        endpoints.refreshAvailable();
+        List<Endpoint> available = endpoints.available();
+        for (Endpoint endpoint : available) {
+            if (endpoint.isEnteringService()) {
+                enterService(endpoint);
+            }
+        }
+        double demand = Sums.of(List.of(requestClasses), RequestClass::demand);
+        healthChecks.scheduleChecks(available, demand, endpoints.isFirstList());
+        endpoints.followed();
+        if (endpoints.takeListUpdated()) {
+            subsets.endpointListUpdated(available);
+            scheduler.endpointListUpdated(available);
+        }
+        ejectUnresponsive();
+    }
+
+    private void enterService(Endpoint endpoint) {
+        boolean onFirstList = endpoints.isFirstList();
+        loads.newProcessStarted(endpoint, onFirstList);
+        endpoint.healthChecks().newProcessStarted();
+        // what is on a wrong list would fail requests: it has to pass a check first
+        endpoint.ejection().newProcessStarted(healthChecks.isEnabled() && !onFirstList);
+        weights.beginSlowStart(endpoint, endpoints.available(), onFirstList);
+    }
+
+    private void ejectUnresponsive() {
+        List<Endpoint> available = endpoints.available();
+        outliers.ejectUnresponsive(available);
+        scheduler.releaseEmptiedStarterTables(weights);
+        for (RoutingTable fullTable : tables.full()) {
+            outliers.restoreIfNoneLeft(fullTable);
+            subsets.reallocateIfEmptied(fullTable, available);
+        }
+    }
+
+    /** Once in an update interval: takes stock, and moves weights and admissions. */
+    void periodicUpdate() {
+        Collection<Endpoint> forgotten = endpoints.forgetLongGone();
+        if (!forgotten.isEmpty()) {
+            scheduler.endpointsForgotten(forgotten);
+        }
+        drainReporter.report();
+        scheduler.releaseStarterTables();
+        channel.measureRate();
+
+        List<Endpoint> available = endpoints.available();
+        LoadSummary summary = loads.update(available, admission.isOverloaded());
+        outliers.update(available, subsets.isAtRest());
+        loads.updateSpeeds(available, summary);
+        admission
+                .update(proxies.all(), summary.load(), summary.responseTime(), loads.failureShare())
+                .ifPresent(log::add);
+        weights.updateWarmingHold(available, proxies);
+        ejectUnresponsive();
+        subsets.resize(available, summary.load(), admission.isOverloaded());
+        if (summary.busyTime() > 0) {
+            weights.updateWeights(available);
+        }
+    }
+}
--- a/src/test/java/sprucelanding/architecture/PackagesTest.java
+++ b/src/test/java/sprucelanding/architecture/PackagesTest.java
@@ -7,6 +7,9 @@
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
+import com.tngtech.archunit.library.Architectures.LayeredArchitecture;
+import com.tngtech.archunit.library.Architectures.LayeredArchitecture.LayerDependencySpecification;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import sprucelanding.control.decision.BootClock;
 
@@ -22,6 +25,100 @@
     private static final String SIMULATION = "sprucelanding.simulation..";
     private static final String CLI = "sprucelanding.cli..";
 
+    /**
+     * A layer: its packages, and the layers that may access it.
+     *
+     * @param accessors names of layers; none where nothing may access it
+     */
+    private record Layer(String name, List<String> packages, List<String> accessors) {
+        Layer accessedBy(String... layers) {
+            return new Layer(name, packages, List.of(layers));
+        }
+    }
+
+    private static Layer layer(String name, String... packages) {
+        return new Layer(name, List.of(packages), List.of());
+    }
+
+    private static final List<Layer> LAYERS =
+            List.of(
+                    layer("decision", "sprucelanding.control.decision")
+                            .accessedBy(
+                                    "core",
+                                    "replay",
+                                    "governor configuration",
+                                    "governor",
+                                    "fronts",
+                                    "emulator",
+                                    "expectation",
+                                    "cli",
+                                    "distribution",
+                                    "settings",
+                                    "operators' protocols"),
+                    layer(
+                                    "delivery",
+                                    "sprucelanding.control.delivery",
+                                    "sprucelanding.control.loadreport",
+                                    "sprucelanding.control.discovery")
+                            .accessedBy(
+                                    "edits",
+                                    "core",
+                                    "replay",
+                                    "governor configuration",
+                                    "governor",
+                                    "fronts",
+                                    "cli",
+                                    "loopback",
+                                    "scenario",
+                                    "emulator",
+                                    "expectation"),
+                    layer("membership", "sprucelanding.control.membership")
+                            .accessedBy(
+                                    "core",
+                                    "governor",
+                                    "governor configuration",
+                                    "emulator",
+                                    "cli"),
+                    layer("edits", "sprucelanding.control.edits").accessedBy("fronts"),
+                    layer("xml", "sprucelanding.front.xml").accessedBy("fronts", "loopback"),
+                    layer("core", "sprucelanding.control.core")
+                            .accessedBy(
+                                    "replay",
+                                    "governor configuration",
+                                    "governor",
+                                    "emulator",
+                                    "expectation",
+                                    "cli"),
+                    layer("replay", REPLAY).accessedBy("scenario", "emulator", "cli"),
+                    layer("governor", "sprucelanding.runtime.governor")
+                            .accessedBy("fronts", "cli", "scenario"),
+                    layer("fronts", "sprucelanding.front.xds", "sprucelanding.front.netconf")
+                            .accessedBy("cli", "scenario"),
+                    layer("governor configuration", "sprucelanding.config.governor")
+                            .accessedBy("emulator", "expectation", "cli"),
+                    layer("model", "sprucelanding.simulation.model")
+                            .accessedBy("loopback", "scenario", "emulator", "experiment"),
+                    layer("rules", "sprucelanding.simulation.rules")
+                            .accessedBy("loopback", "scenario", "emulator", "experiment"),
+                    layer("loopback", "sprucelanding.simulation.loopback").accessedBy("scenario"),
+                    layer("scenario", "sprucelanding.simulation.scenario")
+                            .accessedBy("expectation", "emulator", "experiment", "cli"),
+                    layer("emulator", "sprucelanding.simulation.emulator")
+                            .accessedBy("experiment", "cli"),
+                    layer("expectation", "sprucelanding.simulation.expectation").accessedBy("cli"),
+                    layer("experiment", "sprucelanding.simulation.experiment").accessedBy("cli"),
+                    layer("distribution", "sprucelanding.control.distribution")
+                            .accessedBy("operators' protocols"),
+                    layer("settings", "sprucelanding.control.settings")
+                            .accessedBy("operators' protocols"),
+                    layer(
+                                    "operators' protocols",
+                                    "sprucelanding.simulation.simulator",
+                                    "sprucelanding.runtime.server")
+                            .accessedBy("cli"),
+                    layer("soak", "sprucelanding.simulation.soak").accessedBy("cli"),
+                    layer("cli", CLI));
+
     private final JavaClasses all =
             new ClassFileImporter()
                     .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -63,131 +160,23 @@
 
     @Test
     void packagesAreAccessedByTheirLayersOnly() {
-        layeredArchitecture()
-                .consideringOnlyDependenciesInLayers()
-                .layer("decision")
-                .definedBy("sprucelanding.control.decision")
-                .layer("event loop")
-                .definedBy("sprucelanding.runtime.eventloop")
-                .layer("delivery")
-                .definedBy(
-                        "sprucelanding.control.delivery",
-                        "sprucelanding.control.loadreport",
-                        "sprucelanding.control.discovery")
-                .layer("membership")
-                .definedBy("sprucelanding.control.membership")
-                .layer("edits")
-                .definedBy("sprucelanding.control.edits")
-                .layer("xml")
-                .definedBy("sprucelanding.front.xml")
-                .layer("core")
-                .definedBy("sprucelanding.control.core")
-                .layer("replay")
-                .definedBy(REPLAY)
-                .layer("governor")
-                .definedBy("sprucelanding.runtime.governor")
-                .layer("fronts")
-                .definedBy("sprucelanding.front.xds", "sprucelanding.front.netconf")
-                .layer("governor configuration")
-                .definedBy("sprucelanding.config.governor")
-                .layer("model")
-                .definedBy("sprucelanding.simulation.model")
-                .layer("rules")
-                .definedBy("sprucelanding.simulation.rules")
-                .layer("loopback")
-                .definedBy("sprucelanding.simulation.loopback")
-                .layer("scenario")
-                .definedBy("sprucelanding.simulation.scenario")
-                .layer("emulator")
-                .definedBy("sprucelanding.simulation.emulator")
-                .layer("expectation")
-                .definedBy("sprucelanding.simulation.expectation")
-                .layer("experiment")
-                .definedBy("sprucelanding.simulation.experiment")
-                .layer("distribution")
-                .definedBy("sprucelanding.control.distribution")
-                .layer("settings")
-                .definedBy("sprucelanding.control.settings")
-                .layer("operators' protocols")
-                .definedBy("sprucelanding.simulation.simulator", "sprucelanding.runtime.server")
-                .layer("soak")
-                .definedBy("sprucelanding.simulation.soak")
-                .layer("cli")
-                .definedBy(CLI)
-                .whereLayer("cli")
-                .mayNotBeAccessedByAnyLayer()
-                .whereLayer("operators' protocols")
-                .mayOnlyBeAccessedByLayers("cli")
-                .whereLayer("soak")
-                .mayOnlyBeAccessedByLayers("cli")
-                .whereLayer("distribution")
-                .mayOnlyBeAccessedByLayers("operators' protocols")
-                .whereLayer("settings")
-                .mayOnlyBeAccessedByLayers("operators' protocols")
-                .whereLayer("expectation")
-                .mayOnlyBeAccessedByLayers("cli")
-                .whereLayer("scenario")
-                .mayOnlyBeAccessedByLayers("expectation", "emulator", "experiment", "cli")
-                .whereLayer("emulator")
-                .mayOnlyBeAccessedByLayers("experiment", "cli")
-                .whereLayer("experiment")
-                .mayOnlyBeAccessedByLayers("cli")
-                .whereLayer("loopback")
-                .mayOnlyBeAccessedByLayers("scenario")
-                .whereLayer("rules")
-                .mayOnlyBeAccessedByLayers("loopback", "scenario", "emulator", "experiment")
-                .whereLayer("fronts")
-                .mayOnlyBeAccessedByLayers("cli", "scenario")
-                .whereLayer("governor")
-                .mayOnlyBeAccessedByLayers("fronts", "cli", "scenario")
-                .whereLayer("delivery")
-                .mayOnlyBeAccessedByLayers(
-                        "edits",
-                        "core",
-                        "replay",
-                        "governor configuration",
-                        "governor",
-                        "fronts",
-                        "cli",
-                        "loopback",
-                        "scenario",
-                        "emulator",
-                        "expectation")
-                .whereLayer("core")
-                .mayOnlyBeAccessedByLayers(
-                        "replay",
-                        "governor configuration",
-                        "governor",
-                        "emulator",
-                        "expectation",
-                        "cli")
-                .whereLayer("governor configuration")
-                .mayOnlyBeAccessedByLayers("emulator", "expectation", "cli")
-                .whereLayer("model")
-                .mayOnlyBeAccessedByLayers("loopback", "scenario", "emulator", "experiment")
-                .whereLayer("replay")
-                .mayOnlyBeAccessedByLayers("scenario", "emulator", "cli")
-                .whereLayer("membership")
-                .mayOnlyBeAccessedByLayers(
-                        "core", "governor", "governor configuration", "emulator", "cli")
-                .whereLayer("edits")
-                .mayOnlyBeAccessedByLayers("fronts")
-                .whereLayer("xml")
-                .mayOnlyBeAccessedByLayers("fronts", "loopback")
-                .whereLayer("decision")
-                .mayOnlyBeAccessedByLayers(
-                        "core",
-                        "replay",
-                        "governor configuration",
-                        "governor",
-                        "fronts",
-                        "emulator",
-                        "expectation",
-                        "cli",
-                        "distribution",
-                        "settings",
-                        "operators' protocols")
-                .check(all);
+        LayeredArchitecture architecture =
+                layeredArchitecture().consideringOnlyDependenciesInLayers();
+        for (Layer each : LAYERS) {
+            architecture =
+                    architecture
+                            .layer(each.name())
+                            .definedBy(each.packages().toArray(String[]::new));
+        }
+        for (Layer each : LAYERS) {
+            LayerDependencySpecification layer = architecture.whereLayer(each.name());
+            architecture =
+                    each.accessors().isEmpty()
+                            ? layer.mayNotBeAccessedByAnyLayer()
+                            : layer.mayOnlyBeAccessedByLayers(
+                                    each.accessors().toArray(String[]::new));
+        }
+        architecture.check(all);
     }
 
     /** Hosts call the controller; of its modules, only start times are for them as well. */
--- a/src/test/java/sprucelanding/control/decision/BindBudgetTest.java
+++ b/src/test/java/sprucelanding/control/decision/BindBudgetTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void whatWaitsAndWhatIsExpectedLeavesLess() {
+    void queuedLinesAndExpectedJoinsLeaveLess() {
         double[] ten = new double[10];
         Arrays.fill(ten, 4000);
         double alone = budget.linesPerBind(0, ten, 0, 0, 0);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void oneThatCannotBeInTimeDoesNotStarveTheOthers() {
+    void bindThatCannotBeInTimeDoesNotStarveTheOthers() {
         double others = budget.linesPerBind(0, new double[] {4000, 4000}, 0, 0, 0);
         assertEquals(others, budget.linesPerBind(0, new double[] {400, 4000, 4000}, 0, 0, 0));
     }
@@ -42,7 +42,7 @@
      * reserve.
      */
     @Property(tries = 500)
-    void allAreInTimeAtThatSize(
+    void allBindsAreInTimeAtThatSize(
             @ForAll @Size(min = 1, max = 60)
                     List<@DoubleRange(min = 600, max = 9000) Double> deadlines,
             @ForAll @IntRange(max = 5000) int waiting) {
--- a/src/test/java/sprucelanding/control/decision/BootClockTest.java
+++ b/src/test/java/sprucelanding/control/decision/BootClockTest.java
@@ -14,7 +14,7 @@
     private final BootClock clock = new BootClock();
 
     @Test
-    void aRightClockIsLeftAlone() {
+    void rightClockIsLeftAlone() {
         assertFalse(clock.observe(WALL - 2000, WALL, true));
         assertFalse(
                 clock.observe(WALL - 3_600_000, WALL, false), "it may well have run for an hour");
@@ -24,7 +24,7 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {-3_600_000, -60_000, 60_000, 3_600_000})
-    void aStartThatIsSeenShowsHowFarTheClockIsOff(double step) {
+    void observedStartShowsHowFarTheClockIsOff(double step) {
         double now = WALL + step; // the caller's clock when the wall clock is WALL
         assertTrue(clock.observe(WALL - 2000, now, true));
         assertEquals(step, clock.error(), 2000);
@@ -35,7 +35,7 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {-2000, 2000})
-    void aSmallStepMakesNoneOlderThanTwoSecondsTooMuch(double step) {
+    void smallClockStepMakesNoStartTwoSecondsTooOld(double step) {
         double now = WALL + step;
         clock.observe(WALL - 1500, now, true);
         double age = now - clock.localTime(WALL - 1500);
@@ -43,14 +43,14 @@
     }
 
     @Test
-    void aStartInTheFutureIsEnoughWhoeverSawIt() {
+    void startInTheFutureIsEnoughWhoeverSawIt() {
         assertTrue(clock.observe(WALL + 3_600_000, WALL, false));
         assertEquals(WALL, clock.localTime(WALL + 3_600_000));
         assertFalse(clock.observe(WALL + 3_590_000, WALL, false));
     }
 
     @Test
-    void aNoticeThatWasLateIsPutRightByTheNextStart() {
+    void lateNoticeIsCorrectedByTheNextStart() {
         assertTrue(clock.observe(WALL - 50_000, WALL, true), "discovery was down for long");
         assertTrue(clock.observe(WALL + 10_000, WALL + 12_000, true));
         assertEquals(0, clock.error(), 2000);
--- a/src/test/java/sprucelanding/control/decision/ChannelBudgetTest.java
+++ b/src/test/java/sprucelanding/control/decision/ChannelBudgetTest.java
@@ -14,38 +14,38 @@
     private final ChannelBudget channel = new ChannelBudget(time);
     private final Proxy small = new Proxy(1, 0, true, 0, 10, 1);
     private final Proxy large = new Proxy(2, 0, true, 0, 10, 1);
-    private int receipt;
+    private int acknowledgement;
 
-    private void writes() {
+    private void bookBatch() {
         channel.configure(3, 6, 5000, 0, 10_000);
         time.advanceTo(1000);
         assertTrue(channel.book(List.of(small), 3, ChannelPriority.MANDATORY, Purpose.WEIGHT));
         assertTrue(channel.book(List.of(large), 2983, ChannelPriority.MANDATORY, Purpose.BIND));
         assertEquals(3000, channel.queuedLines());
-        receipt = channel.closeBatch(2);
+        acknowledgement = channel.closeBatch(2);
         time.advanceTo(1200);
     }
 
     @Test
-    void aSmallMessageThatIsConfirmedDoesNotShowThatALargeOneHasLeft() {
-        writes();
-        channel.acknowledged(small.id, receipt);
+    void acknowledgedSmallMessageDoesNotShowThatALargeOneHasLeft() {
+        bookBatch();
+        channel.acknowledged(small.id, acknowledgement);
         assertEquals(2990, channel.queuedLines());
         assertFalse(channel.book(List.of(small), 2100, ChannelPriority.MANDATORY, Purpose.REMOVAL));
-        channel.acknowledged(large.id, receipt);
+        channel.acknowledged(large.id, acknowledgement);
         assertEquals(0, channel.queuedLines());
     }
 
     @Test
-    void whereTheProxyIsNotKnownAShareCounts() {
-        writes();
-        channel.acknowledged(receipt);
+    void shareOfTheBatchCountsWhereTheProxyIsNotKnown() {
+        bookBatch();
+        channel.acknowledged(acknowledgement);
         assertEquals(1500, channel.queuedLines());
     }
 
     @Test
-    void aConfirmationOfALaterMomentShowsThatAllBeforeHasLeft() {
-        writes();
+    void acknowledgementOfALaterBatchShowsThatAllBeforeHasLeft() {
+        bookBatch();
         assertTrue(channel.book(List.of(small), 3, ChannelPriority.MANDATORY, Purpose.WEIGHT));
         int later = channel.closeBatch(1);
         time.advanceTo(1400);
--- a/src/test/java/sprucelanding/control/decision/DrainTrackerTest.java
+++ b/src/test/java/sprucelanding/control/decision/DrainTrackerTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void anUnboundProxyIsDueAGraceAfterTheLaterOfJoiningAndRemoval() {
+    void unboundProxyIsDueAGraceAfterTheLaterOfJoinAndRemoval() {
         tracker.proxyJoined(1, 100, 1);
         assertEquals(Double.POSITIVE_INFINITY, tracker.bindDeadline(1));
         tracker.endpointRemoved(10, 300);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aBindIsSettledByItsAcknowledgementOnly() {
+    void bindIsSettledByItsAcknowledgementOnly() {
         tracker.endpointRemoved(10, 0);
         tracker.proxyJoined(1, 0, 1);
         tracker.tablesCompleted(1, 3);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void anUnboundProxyThatIsToldNothingIsReported() {
+    void unboundProxyThatIsSentNothingIsReported() {
         tracker.proxyJoined(1, 0, 1);
         tracker.endpointRemoved(10, 200);
         assertEquals(List.of(), overdueAt(1100));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aBoundProxyOwesWhatItsTablesName() {
+    void boundProxyOwesWhatItsTablesName() {
         boundProxy(1, 0, 1);
         tracker.endpointRemoved(10, 500);
         tracker.owes(1, 10);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aRemovalThatIsNotOrderedIsReportedAsSuch() {
+    void removalThatIsNotOrderedIsReportedAsSuch() {
         boundProxy(1, 0, 1);
         tracker.endpointRemoved(10, 500);
         tracker.owes(1, 10);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void anAcknowledgementOfAnEarlierMessageSettlesNothingOrderedLater() {
+    void acknowledgementOfAnEarlierMessageSettlesNothingOrderedLater() {
         boundProxy(1, 0, 1);
         tracker.endpointRemoved(10, 0);
         tracker.owes(1, 10);
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aNewStreamOwesAnew() {
+    void newStreamOwesAnew() {
         boundProxy(1, 0, 1);
         tracker.endpointRemoved(10, 100);
         tracker.proxyJoined(1, 600, 2);
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aProxyThatLeftOwesNothingHere() {
+    void proxyThatLeftOwesNothingHere() {
         tracker.endpointRemoved(10, 0);
         tracker.proxyJoined(1, 0, 1);
         tracker.proxyLeft(1);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void whatReturnsToTheListIsOwedNoMore() {
+    void endpointThatReturnsToTheListIsOwedNoMore() {
         boundProxy(1, 0, 1);
         tracker.endpointRemoved(10, 0);
         tracker.owes(1, 10);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void shuttingOutReachesThoseThatHadJoinedByThen() {
+    void ejectionReachesProxiesThatHadJoinedByThen() {
         tracker.proxyJoined(1, 0, 1);
         tracker.endpointRemoved(10, 100);
         tracker.ejectedEverywhere(10, 1);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void shuttingOutIsSettledByItsAcknowledgementOnly() {
+    void ejectionIsSettledByItsAcknowledgementOnly() {
         tracker.proxyJoined(1, 0, 1);
         tracker.endpointRemoved(10, 100);
         tracker.ejectedEverywhere(10, 2);
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void whatIsForgottenMayStillBeInTablesOfOthers() {
+    void forgottenEndpointMayStillBeInTablesOfOthers() {
         tracker.endpointRemoved(10, 0);
         tracker.endpointForgotten(10);
         tracker.proxyJoined(1, 90_000, 1);
--- a/src/test/java/sprucelanding/control/decision/FailoverDecisionsTest.java
+++ b/src/test/java/sprucelanding/control/decision/FailoverDecisionsTest.java
@@ -35,11 +35,11 @@
             host.controller.proxyJoined(id, 0, 10, true);
         }
         host.settle();
-        host.run(8, () -> reports(host));
+        host.run(8, () -> report(host));
         return host;
     }
 
-    private static void reports(FakeControllerHost host) {
+    private static void report(FakeControllerHost host) {
         for (long id = 1; id <= ENDPOINTS; id++) {
             host.controller.endpointStatsReported(id, 10, 0, 100, 0.5);
         }
@@ -73,24 +73,24 @@
     }
 
     @Test
-    void allThatAreInheritedAreBoundWithinTheGraceThoughRegularTablesWouldTakeTooLong() {
+    void inheritedProxiesAreBoundWithinTheGraceThoughRegularTablesWouldBeLate() {
         FakeControllerHost host = calmGovernor(0);
         drain(host, 1, 30);
         host.acknowledgesMessages = false; // no receipt comes: half of the pace is trusted
         inherit(host);
-        host.run(3, () -> reports(host));
+        host.run(3, () -> report(host));
         assertEquals(FLEET, host.boundClassesByProxy.size());
         assertTrue(lines(host, OWN + 100) < lines(host, 0), "smaller tables than in calm times");
     }
 
     @Test
-    void nobodyIsLeftOnASmallTableOnceTheRushIsOver() {
+    void noProxyStaysOnAStarterTableAfterTheRush() {
         FakeControllerHost host = calmGovernor(0);
         long regular = lines(host, 0);
         drain(host, 1, 30);
         host.acknowledgesMessages = false;
         inherit(host);
-        host.run(3, () -> reports(host));
+        host.run(3, () -> report(host));
         host.acknowledgesMessages = true;
         TreeSet<Integer> small = new TreeSet<>(host.tableByProxy.values());
         small.removeIf(
@@ -100,7 +100,7 @@
                                         .count()
                                 > regular / 2);
         assertFalse(small.isEmpty());
-        host.run(60, () -> reports(host));
+        host.run(60, () -> report(host));
         for (int proxy = OWN; proxy < FLEET; proxy++) {
             assertFalse(
                     small.contains(host.tableByProxy.get(proxy)),
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void aProxyWithLittleTrafficIsNotPassedOverByThoseThatComeLaterWithMore() {
+    void proxyWithLittleTrafficIsNotOvertakenByLaterBusierOnes() {
         FakeControllerHost host = calmGovernor(0);
         host.controller.configureChannel(3, 6, 5000, 0, 10_000); // slower than in the other stories
         drain(host, 1, 30);
@@ -131,19 +131,19 @@
     }
 
     @Test
-    void inARushNoWithdrawalsAreSentInPlaceOfBinds() {
+    void noEjectionsAreSentInPlaceOfBindsInARush() {
         FakeControllerHost host = calmGovernor(0);
         drain(host, 1, 30);
         host.orders.clear();
         inherit(host);
-        host.run(2, () -> reports(host));
+        host.run(2, () -> report(host));
         assertTrue(
                 host.orders.stream().noneMatch(order -> order.startsWith("eject ")),
                 "each would cost a message to all");
     }
 
     @Test
-    void removalsAreInTimeThoughThereAreMoreOfThemThanMessagesToAProxy() {
+    void removalsAreInTimeThoughTheyOutnumberTheMessagesToAProxy() {
         FakeControllerHost host = calmGovernor(12);
         int steps = 60;
         for (int step = 0; step < steps; step++) { // one drains each quarter of a second
@@ -151,7 +151,7 @@
             host.controller.setTime(host.now);
             host.controller.timerFired(1);
             drain(host, 1 + step, 1 + step);
-            reports(host);
+            report(host);
             int due = step - (int) ((GRACE - TRANSIT) / 250);
             for (long id = 1; id <= due; id++) {
                 long gone = id;
@@ -164,18 +164,18 @@
     }
 
     @Test
-    void aSmallTableThatLosesItsEndpointsTakesOthersAndNobodyIsLeftWithNone() {
+    void starterTableThatLosesItsEndpointsTakesOthers() {
         FakeControllerHost host = calmGovernor(0);
         drain(host, 1, 30);
         host.acknowledgesMessages = false;
         inherit(host);
-        host.run(2, () -> reports(host));
+        host.run(2, () -> report(host));
         host.acknowledgesMessages = true;
         for (int step = 0; step < 7; step++) { // another seventy leave within seven seconds
             drain(host, 31 + 10 * step, 40 + 10 * step);
-            host.run(1, () -> reports(host));
+            host.run(1, () -> report(host));
         }
-        host.run(2, () -> reports(host));
+        host.run(2, () -> report(host));
         for (int proxy = 0; proxy < FLEET; proxy++) {
             assertTrue(
                     lines(host, proxy) >= 2,
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void aProxyThatCannotBeBoundYetHoldsUpNobodyElsesOrders() {
+    void proxyThatCannotBeBoundYetHoldsUpNobodyElse() {
         BitSet homeOnly = new BitSet();
         RequestClass requestClass = new RequestClass(0, true, 1, 800, new BitSet(), homeOnly, true);
         FakeControllerHost host = new FakeControllerHost(AdmissionMode.SHARE, 0, requestClass);
@@ -197,10 +197,10 @@
         host.controller.endpointListCompleted();
         host.controller.proxyJoined(1, 0, 10, true);
         host.settle();
-        host.run(3, () -> reports(host));
+        host.run(3, () -> report(host));
         host.changeEndpoint(1, 0, EndpointState.DRAINING);
         host.controller.proxyJoined(2, 2, 10, false); // nothing in its zone to bind it to
-        host.run(2, () -> reports(host));
+        host.run(2, () -> report(host));
         host.orders.clear();
         host.run(
                 10,
@@ -213,11 +213,11 @@
     }
 
     @Test
-    void oneThatIsFirstHeardOfAsItLeavesIsWithdrawnFromThoseThatJoinLater() {
+    void endpointFirstHeardOfAsItLeavesIsEjectedForLaterJoiners() {
         FakeControllerHost host = FakeControllerHost.ordinary(8);
         host.changeEndpoint(50, 0, EndpointState.DRAINING);
         host.controller.proxyJoined(7, 0, 10, false);
-        host.run(2, () -> reports(host));
+        host.run(2, () -> report(host));
         assertTrue(host.orders.contains("eject 50"), "its tables may hold it: " + host.orders);
     }
 }
--- a/src/test/java/sprucelanding/control/decision/SpeedPriorTest.java
+++ b/src/test/java/sprucelanding/control/decision/SpeedPriorTest.java
@@ -23,17 +23,17 @@
         }
         host.controller.endpointListCompleted();
         host.settle();
-        host.run(20, () -> reports(host));
+        host.run(20, () -> report(host));
         return host;
     }
 
-    private static void reports(FakeControllerHost host) {
+    private static void report(FakeControllerHost host) {
         for (long id = 1; id <= 24; id++) {
             host.controller.endpointStatsReported(id, id <= 12 ? 16 : 4, 0, 100, 0.5);
         }
     }
 
-    private static void starts(FakeControllerHost host, long id, int kind) {
+    private static void startEndpoint(FakeControllerHost host, long id, int kind) {
         host.controller.endpointListStarted(false, false);
         host.controller.endpointListed(id, 0, kind, 1, host.now, EndpointState.AVAILABLE);
         host.controller.endpointListCompleted();
@@ -41,14 +41,14 @@
     }
 
     @Test
-    void aColdServerIsHeldAgainstTheSpeedOfItsKindAndNotTheMean() {
+    void warmingEndpointIsComparedWithItsMachineKindAndNotTheMean() {
         FakeControllerHost host = twoKinds();
         assertTrue(
                 host.weight(1) > 2 * host.weight(13), host.weight(1) + " and " + host.weight(13));
-        starts(host, 30, SLOW);
-        starts(host, 31, FAST);
+        startEndpoint(host, 30, SLOW);
+        startEndpoint(host, 31, FAST);
         for (int second = 1; second <= 8; second++) {
-            host.run(1, () -> reports(host));
+            host.run(1, () -> report(host));
             double share = 0.2 + 0.8 * (second * 1000 + 1000) / WARM_AFTER;
             assertTrue(
                     host.weight(30) <= 1.25 * share * host.weight(13),
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void withoutEvidenceTheListedWeightsStand() {
+    void listedWeightsCountWithoutEvidence() {
         SpeedPrior prior = new SpeedPrior();
         Endpoint light = new Endpoint(1);
         light.setListing(0, FAST, 1, 0);
