--- /dev/null
+++ b/src/test/java/sprucelanding/architecture/ArchitecturePageTest.java
@@ -0,0 +1,123 @@
+package sprucelanding.architecture;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.MatchResult;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** docs/architecture.md names types and packages; each of them exists. */
+class ArchitecturePageTest {
+    private static final Path PAGE = Path.of("docs/architecture.md");
+    private static final Path SOURCES = Path.of("src/main/java/sprucelanding");
+    private static final Path TESTS = Path.of("src/test/java/sprucelanding");
+
+    /** A capitalized word of two or more humps in the diagrams. */
+    private static final Pattern TYPE_IN_DIAGRAM =
+            Pattern.compile("\\b[A-Z][a-z]+(?:[A-Z][a-z]+)+\\b");
+
+    private static final Pattern CODE = Pattern.compile("`([^`\n]+)`");
+    private static final Pattern QUALIFIED_TYPE =
+            Pattern.compile("((?:[a-z]+\\.)*)([A-Z]\\w*)(?:\\.([a-z]\\w*))?");
+    private static final Pattern PACKAGE =
+            Pattern.compile("(?:control|runtime|front|config|replay|simulation|cli)(?:\\.[a-z]+)?");
+
+    /** Capitalized code words of the page that are no types. */
+    private static final Set<String> OTHER_WORDS = Set.of("SIGHUP", "SIGTERM");
+
+    private static String page() throws IOException {
+        return Files.readString(PAGE);
+    }
+
+    private static Stream<Path> files(Path folder) throws IOException {
+        try (Stream<Path> all = Files.walk(folder)) {
+            return all.filter(file -> file.toString().endsWith(".java")).toList().stream();
+        }
+    }
+
+    private static Set<String> typeNames() throws IOException {
+        return Stream.concat(files(SOURCES), files(TESTS))
+                .map(file -> file.getFileName().toString().replace(".java", ""))
+                .collect(Collectors.toCollection(TreeSet::new));
+    }
+
+    private static List<String> diagrams() throws IOException {
+        String[] parts = page().split("(?m)^```$");
+        return Stream.iterate(1, i -> i < parts.length, i -> i + 2).map(i -> parts[i]).toList();
+    }
+
+    @Test
+    void everyTypeInADiagramExists() throws IOException {
+        Set<String> named = new TreeSet<>();
+        for (String diagram : diagrams()) {
+            TYPE_IN_DIAGRAM.matcher(diagram).results().map(MatchResult::group).forEach(named::add);
+        }
+        assertTrue(named.size() >= 15, "types found in the diagrams: " + named);
+        named.removeAll(typeNames());
+        assertEquals(Set.of(), named, "types in diagrams that do not exist");
+    }
+
+    @Test
+    void everyPackageInTheLayersExists() throws IOException {
+        Set<String> missing = new TreeSet<>();
+        for (Path folder : packages()) {
+            String name = folder.getFileName().toString();
+            if (!diagrams().get(0).contains(name)) {
+                missing.add(name);
+            }
+        }
+        assertEquals(Set.of(), missing, "packages that the diagram of layers does not show");
+    }
+
+    private static List<Path> packages() throws IOException {
+        return files(SOURCES)
+                .map(Path::getParent)
+                .filter(folder -> !folder.equals(SOURCES))
+                .distinct()
+                .toList();
+    }
+
+    @Test
+    void everyTypeAndPackageInTheTextExists() throws IOException {
+        Set<String> missing = new TreeSet<>();
+        CODE.matcher(page())
+                .results()
+                .map(code -> code.group(1))
+                .filter(code -> !exists(code))
+                .forEach(missing::add);
+        assertEquals(Set.of(), missing, "names in the text that do not exist");
+    }
+
+    /** Whether a code word is a type or package that exists; other code words count as existing. */
+    private static boolean exists(String code) {
+        if (PACKAGE.matcher(code).matches()) {
+            return Files.isDirectory(SOURCES.resolve(code.replace('.', '/')));
+        }
+        var type = QUALIFIED_TYPE.matcher(code);
+        if (!type.matches() || OTHER_WORDS.contains(code)) {
+            return true;
+        }
+        try {
+            String packagePath = type.group(1).replace('.', '/');
+            List<Path> sources =
+                    Stream.concat(files(SOURCES), files(TESTS))
+                            .filter(file -> file.endsWith(packagePath + type.group(2) + ".java"))
+                            .toList();
+            return !sources.isEmpty()
+                    && (type.group(3) == null
+                            || Files.readString(sources.get(0)).contains(type.group(3) + "("));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+}
