--- a/src/main/java/sprucelanding/cli/CaptureCommand.java
+++ b/src/main/java/sprucelanding/cli/CaptureCommand.java
@@ -131,11 +131,8 @@
                     replay.decisionCount(),
                     replay.orderCount());
             printTruncation(capture);
-            System.out.println(
-                    replay.stopReason() == null
-                            ? "the same, to the last bit"
-                            : replay.stopReason());
-            return replay.stopReason() == null ? 0 : 1;
+            System.out.println(replay.stopReason().orElse("the same, to the last bit"));
+            return replay.stopReason().isEmpty() ? 0 : 1;
         }
     }
 }
--- a/src/main/java/sprucelanding/cli/GovernorFactory.java
+++ b/src/main/java/sprucelanding/cli/GovernorFactory.java
@@ -169,8 +169,6 @@
         }
     }
 
-    private static final int MAX_ROTATED_CAPTURES = 1000;
-
     private static CaptureWriter openCapture(GovernorConfig config, String configText)
             throws IOException {
         GovernorConfig.CaptureConfig captureConfig = config.capture();
@@ -178,16 +176,9 @@
             return null;
         }
         Path file = Path.of(captureConfig.file());
-        for (int rotation = 1;
-                java.nio.file.Files.exists(file) && rotation < MAX_ROTATED_CAPTURES;
-                rotation++) { // of an earlier life: it is kept
-            Path rotated = Path.of(captureConfig.file() + "." + rotation);
-            if (!java.nio.file.Files.exists(rotated)) {
-                java.nio.file.Files.move(file, rotated);
-            }
-        }
+        CaptureWriter.rotate(file);
         return new CaptureWriter(
-                Path.of(captureConfig.file()),
+                file,
                 configText,
                 captureConfig.waits(),
                 (long) captureConfig.most() << 20,
--- a/src/main/java/sprucelanding/replay/capture/CaptureWriter.java
+++ b/src/main/java/sprucelanding/replay/capture/CaptureWriter.java
@@ -6,40 +6,57 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.ArrayBlockingQueue;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
 /**
- * Writes a capture on a thread of its own. Put is called from one thread and never waits: if the
- * disk can't keep up, whole blocks are dropped, and a block in their place tells how many events,
- * from when to when.
+ * Writes a capture. Events are collected into blocks on the caller's thread; a thread of its own,
+ * named "capture", compresses and writes them. {@link #append} never waits: if the disk cannot keep
+ * up, whole blocks are dropped, and a block in their place tells how many events, and from when to
+ * when. Call {@link #append} and {@link #close} from one thread.
  */
 public final class CaptureWriter implements AutoCloseable {
     private static final int BLOCK_BYTES = 64 * 1024;
-    private static final double MAX_BLOCK_AGE_MILLIS =
-            1000; // ms that an event waits in an open block
 
-    private record PendingBlock(byte kind, byte[] content) {}
+    /** How long an event waits in an open block. */
+    private static final double MAX_BLOCK_AGE_MILLIS = 1000;
+
+    private static final int MAX_ROTATED_FILES = 999;
+    private static final long OFFER_RETRY_MILLIS = 10;
+    private static final long CLOSE_TIMEOUT_MILLIS = 5000;
+
+    private record PendingBlock(BlockKind kind, byte[] content) {}
+
+    private static final PendingBlock END_OF_CAPTURE =
+            new PendingBlock(BlockKind.UNKNOWN, new byte[0]);
 
-    private static final PendingBlock END_OF_CAPTURE = new PendingBlock((byte) -1, new byte[0]);
     private final ArrayBlockingQueue<PendingBlock> queue;
     private final OutputStream out;
     private final long maxFileBytes;
     private final Consumer<String> faultListener;
     private final Thread thread;
+
+    // The caller's thread alone uses these.
     private final EventEncoder encoder = new EventEncoder();
     private int eventsInBlock;
-    private double blockOpenedAt = Double.NaN;
+    private double blockOpenedAt = Double.NaN; // NaN while the block is empty
     private double lastEventAt;
     private int droppedEvents;
     private double droppedFrom;
     private double droppedTo;
+
+    /** Set by the writing thread when it ends; from then on events are ignored. */
     private volatile boolean stopped;
 
     /**
-     * @param station the text that the governor was started with
-     * @param blocks that may wait to be written
-     * @param most bytes of the file; past them the capture ends, and says so
-     * @param told what went wrong, from any thread
+     * Starts a capture in a file, which is overwritten if it exists.
+     *
+     * @param file where to write
+     * @param configText the text that the governor was started with
+     * @param maxPendingBlocks how many blocks may wait to be written
+     * @param maxFileBytes size of the file past which the capture ends
+     * @param faultListener told of each drop, error or early end; called from either thread
+     * @throws IOException if the file cannot be opened
      */
     public CaptureWriter(
             Path file,
@@ -71,6 +88,30 @@
         thread.start();
     }
 
+    /**
+     * Moves a capture of an earlier incarnation out of the way, to the first free one of FILE.1,
+     * FILE.2 and so on. Does nothing if there is none, or if 999 were kept before: then the file is
+     * overwritten.
+     *
+     * @param file where the next capture goes
+     * @throws IOException if the file cannot be moved
+     */
+    public static void rotate(Path file) throws IOException {
+        for (int rotation = 1; rotation <= MAX_ROTATED_FILES && Files.exists(file); rotation++) {
+            Path rotated = Path.of(file + "." + rotation);
+            if (!Files.exists(rotated)) {
+                Files.move(file, rotated);
+            }
+        }
+    }
+
+    /**
+     * Records an event. Never waits and never fails; after the capture ended it does nothing.
+     *
+     * @param at when it happened, in ms on the governor's clock
+     * @param type what happened
+     * @param fields one value for each of the type's fields, of the field's Java type
+     */
     public void append(double at, EventType type, Object... fields) {
         if (stopped) {
             return;
@@ -92,47 +133,39 @@
         }
         byte[] content = encoder.takeBlock();
         if (droppedEvents > 0) {
-            EventEncoder gap = new EventEncoder();
-            gap.append(EventType.CLOCK, droppedFrom);
-            gap.append(EventType.CLOCK, droppedTo);
-            gap.append(EventType.BELL, droppedEvents);
-            if (queue.remainingCapacity() >= 2
-                    && queue.offer(new PendingBlock(CaptureFormat.GAP_BLOCK, gap.takeBlock()))) {
-                faultListener.accept("a capture dropped " + droppedEvents + " events");
-                droppedEvents = 0;
-            }
+            offerGap();
         }
-        if (droppedEvents > 0
-                || !queue.offer(new PendingBlock(CaptureFormat.EVENTS_BLOCK, content))) {
-            droppedFrom = droppedEvents == 0 ? blockOpenedAt : droppedFrom;
-            droppedTo = lastEventAt;
-            droppedEvents += eventsInBlock;
+        boolean queued =
+                droppedEvents == 0 && queue.offer(new PendingBlock(BlockKind.EVENTS, content));
+        if (!queued) {
+            dropBlock();
         }
         eventsInBlock = 0;
         blockOpenedAt = Double.NaN;
     }
 
+    /** Queues the block that stands for what was dropped, if the next events fit in after it. */
+    private void offerGap() {
+        EventEncoder gap = new EventEncoder();
+        gap.append(EventType.CLOCK, droppedFrom);
+        gap.append(EventType.CLOCK, droppedTo);
+        gap.append(EventType.BELL, droppedEvents);
+        if (queue.remainingCapacity() >= 2
+                && queue.offer(new PendingBlock(BlockKind.GAP, gap.takeBlock()))) {
+            faultListener.accept("a capture dropped " + droppedEvents + " events");
+            droppedEvents = 0;
+        }
+    }
+
+    private void dropBlock() {
+        droppedFrom = droppedEvents == 0 ? blockOpenedAt : droppedFrom;
+        droppedTo = lastEventAt;
+        droppedEvents += eventsInBlock;
+    }
+
     private void writeBlocks(String configText) {
-        int number = 0;
-        long writtenBytes = 0;
         try (OutputStream output = out) {
-            CaptureFormat.writeFileHeader(output);
-            writtenBytes +=
-                    CaptureFormat.writeBlock(
-                            output,
-                            CaptureFormat.HEADER_BLOCK,
-                            number++,
-                            configText.getBytes(StandardCharsets.UTF_8));
-            output.flush();
-            for (PendingBlock block = queue.take(); block != END_OF_CAPTURE; block = queue.take()) {
-                writtenBytes +=
-                        CaptureFormat.writeBlock(output, block.kind, number++, block.content);
-                output.flush();
-                if (writtenBytes > maxFileBytes) {
-                    faultListener.accept("a capture ends: it has " + writtenBytes + " bytes");
-                    break;
-                }
-            }
+            writeBlocks(output, configText);
         } catch (IOException e) {
             faultListener.accept("a capture ends: " + e);
         } catch (InterruptedException e) {
@@ -142,17 +175,33 @@
         queue.clear();
     }
 
-    /** Writes what waits, for five seconds at most. Not from another thread while one puts. */
+    private void writeBlocks(OutputStream output, String configText)
+            throws IOException, InterruptedException {
+        int number = 0;
+        byte[] header = configText.getBytes(StandardCharsets.UTF_8);
+        CaptureFormat.writeFileHeader(output);
+        long writtenBytes = CaptureFormat.writeBlock(output, BlockKind.HEADER, number++, header);
+        output.flush();
+        for (PendingBlock block = queue.take(); block != END_OF_CAPTURE; block = queue.take()) {
+            writtenBytes += CaptureFormat.writeBlock(output, block.kind, number++, block.content);
+            output.flush();
+            if (writtenBytes > maxFileBytes) {
+                faultListener.accept("a capture ends: it has " + writtenBytes + " bytes");
+                break;
+            }
+        }
+    }
+
+    /** Writes what is pending and ends the capture; waits five seconds at most for the disk. */
     @Override
     public void close() {
         flush();
         try {
-            while (!stopped
-                    && !queue.offer(
-                            END_OF_CAPTURE, 10, java.util.concurrent.TimeUnit.MILLISECONDS)) {
-                continue;
+            boolean endQueued = false;
+            while (!stopped && !endQueued) {
+                endQueued = queue.offer(END_OF_CAPTURE, OFFER_RETRY_MILLIS, TimeUnit.MILLISECONDS);
             }
-            thread.join(5000);
+            thread.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/sprucelanding/replay/capture/DecisionReplay.java
+++ b/src/main/java/sprucelanding/replay/capture/DecisionReplay.java
@@ -3,20 +3,17 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import sprucelanding.control.core.ControllerInput;
 import sprucelanding.control.decision.ControllerOutput;
-import sprucelanding.control.decision.EndpointState;
-import sprucelanding.control.decision.HealthCheckResult;
 
 /**
- * Decides again: give it the events one by one, and it tells the module what it was told then, asks
- * it as often, and compares its orders, to the last bit. After the first difference, or a gap, it
- * goes no further.
+ * Makes a controller decide again from a capture. It is told what was recorded, asked for a
+ * decision as often, and its orders are compared to the recorded ones, to the last bit. The replay
+ * stops at the first difference or gap. Not thread safe.
  */
 public final class DecisionReplay {
     private static final int CONTEXT_EVENTS = 12;
-    private static final EndpointState[] ENDPOINT_STATES = EndpointState.values();
-    private static final HealthCheckResult[] HEALTH_CHECK_RESULTS = HealthCheckResult.values();
     private static final ControllerOutput DISCARDING_OUTPUT =
             (ControllerOutput)
                     java.lang.reflect.Proxy.newProxyInstance(
@@ -25,16 +22,20 @@
                             (self, method, args) -> null);
 
     private final ControllerInput controller;
+    private final InputReplayer inputReplayer;
     private final List<CaptureEvent> recordedOrders = new ArrayList<>();
     private final List<CaptureEvent> replayedOrders = new ArrayList<>();
     private final ArrayDeque<CaptureEvent> recentEvents = new ArrayDeque<>();
     private double now;
     private long orderCount;
     private long decisionCount;
-    private String stopReason;
+    private Optional<String> stopReason = Optional.empty();
 
     /**
-     * @param choice as it was set up then
+     * Starts a replay.
+     *
+     * @param controller a controller that was told nothing yet, with the settings of the recorded
+     *     one
      */
     public DecisionReplay(ControllerInput controller) {
         this.controller =
@@ -45,86 +46,71 @@
                                 replayedOrders.add(CaptureEvent.of(type, at, fields));
                             }
                         });
+        this.inputReplayer = new InputReplayer(this.controller);
     }
 
+    /** Orders that the controller gave so far. */
     public long orderCount() {
         return orderCount;
     }
 
+    /** Decisions that the controller was asked for so far. */
     public long decisionCount() {
         return decisionCount;
     }
 
-    /** Why it went no further; null if it did not stop. */
-    public String stopReason() {
+    /** Why the replay stopped; empty if it did not. */
+    public Optional<String> stopReason() {
         return stopReason;
     }
 
-    /** Null for a gap. */
+    /**
+     * Takes the next event; does nothing after the replay stopped.
+     *
+     * @param event the event; null for a gap
+     */
     public void onEvent(CaptureEvent event) {
-        if (stopReason != null) {
+        if (stopReason.isPresent()) {
             return;
         }
         if (event == null) {
             stopReason =
-                    "events were dropped here: what was decided after it cannot be decided again";
+                    Optional.of(
+                            "events were dropped here: what was decided after it cannot be decided"
+                                    + " again");
             return;
         }
-        if (event.type().source == EventType.EventSource.ORDER) {
-            recordedOrders.add(event);
-        } else if (event.type().source == EventType.EventSource.INPUT) {
-            replayInput(event);
-        }
-        if (event.type().source == EventType.EventSource.INPUT
-                || event.type().source == EventType.EventSource.ORDER) {
-            recentEvents.add(event);
-            if (recentEvents.size() > CONTEXT_EVENTS) {
-                recentEvents.poll();
+        switch (event.type().source) {
+            case INPUT -> {
+                replayInput(event);
+                addContext(event);
+            }
+            case ORDER -> {
+                recordedOrders.add(event);
+                addContext(event);
+            }
+            default -> {
+                // The controller knows nothing of other events.
             }
         }
     }
 
+    private void addContext(CaptureEvent event) {
+        recentEvents.add(event);
+        if (recentEvents.size() > CONTEXT_EVENTS) {
+            recentEvents.poll();
+        }
+    }
+
     private void replayInput(CaptureEvent event) {
-        switch (event.type()) {
-            case CLOCK -> {
-                now = event.doubleAt(0);
-                controller.setTime(now);
-            }
-            case BELL -> controller.timerFired(event.intAt(0));
-            case LIST_OPENS ->
-                    controller.endpointListStarted(event.booleanAt(0), event.booleanAt(1));
-            case LISTED ->
-                    controller.endpointListed(
-                            event.longAt(0),
-                            event.intAt(1),
-                            event.intAt(2),
-                            event.doubleAt(3),
-                            event.doubleAt(4),
-                            ENDPOINT_STATES[event.intAt(5)]);
-            case LIST_CLOSES -> controller.endpointListCompleted();
-            case LIST_FAILED -> controller.endpointListFailed();
-            case PROBED ->
-                    controller.healthCheckCompleted(
-                            event.longAt(0),
-                            HEALTH_CHECK_RESULTS[event.intAt(1)],
-                            event.doubleAt(2));
-            case MET ->
-                    controller.endpointStatsReported(
-                            event.longAt(0),
-                            event.intAt(1),
-                            event.intAt(2),
-                            event.doubleAt(3),
-                            event.doubleAt(4));
-            case IN_FORCE -> controller.acknowledged(event.intAt(0));
-            case CAME ->
-                    controller.demandReported(
-                            event.intAt(0), event.intAt(1), event.intAt(2), event.doubleAt(3));
-            case JOINED ->
-                    controller.proxyJoined(
-                            event.intAt(0), event.intAt(1), event.doubleAt(2), event.booleanAt(3));
-            case LEFT -> controller.proxyLeft(event.intAt(0));
-            default -> compareDecision(event.booleanAt(0));
+        if (event.type() == EventType.DECIDED) {
+            compareDecision(event.booleanAt(0));
+            return;
+        }
+        if (event.type() == EventType.CLOCK) {
+            now = event.doubleAt(0);
         }
+        inputReplayer.replay(event);
     }
 
     private void compareDecision(boolean recordedMore) {
@@ -132,35 +118,47 @@
         boolean replayedMore = controller.decide(DISCARDING_OUTPUT);
         decisionCount++;
         orderCount += replayedOrders.size();
-        int orderCount = Math.max(recordedOrders.size(), replayedOrders.size());
-        for (int i = 0; i < orderCount; i++) {
-            CaptureEvent recorded = i < recordedOrders.size() ? recordedOrders.get(i) : null;
-            CaptureEvent replayed = i < replayedOrders.size() ? replayedOrders.get(i) : null;
-            if (recorded == null || replayed == null || !recorded.hasSameContent(replayed)) {
-                reportDifference(
+        int longest = Math.max(recordedOrders.size(), replayedOrders.size());
+        for (int i = 0; i < longest; i++) {
+            Optional<CaptureEvent> recorded = elementAt(recordedOrders, i);
+            Optional<CaptureEvent> replayed = elementAt(replayedOrders, i);
+            if (!haveSameContent(recorded, replayed)) {
+                stopAtDifference(
                         "order " + i + " of decision " + decisionCount, recorded, replayed);
                 return;
             }
         }
         if (replayedMore != recordedMore) {
-            reportDifference(
+            stopAtDifference(
                     "whether decision " + decisionCount + " was the last",
-                    CaptureEvent.of(EventType.DECIDED, this.now, recordedMore),
-                    CaptureEvent.of(EventType.DECIDED, this.now, replayedMore));
+                    Optional.of(CaptureEvent.of(EventType.DECIDED, now, recordedMore)),
+                    Optional.of(CaptureEvent.of(EventType.DECIDED, now, replayedMore)));
         }
         recordedOrders.clear();
     }
 
-    private void reportDifference(String location, CaptureEvent recorded, CaptureEvent replayed) {
+    private static Optional<CaptureEvent> elementAt(List<CaptureEvent> events, int index) {
+        return index < events.size() ? Optional.of(events.get(index)) : Optional.empty();
+    }
+
+    private static boolean haveSameContent(
+            Optional<CaptureEvent> recorded, Optional<CaptureEvent> replayed) {
+        return recorded.isPresent()
+                && replayed.isPresent()
+                && recorded.get().hasSameContent(replayed.get());
+    }
+
+    private void stopAtDifference(
+            String location, Optional<CaptureEvent> recorded, Optional<CaptureEvent> replayed) {
         StringBuilder text = new StringBuilder(location).append(" differs\n");
         recentEvents.forEach(
                 event -> text.append("  before  ").append(event.format(0)).append('\n'));
-        text.append("  then    ")
-                .append(recorded == null ? "nothing" : recorded.format(0))
-                .append('\n');
-        stopReason =
-                text.append("  again   ")
-                        .append(replayed == null ? "nothing" : replayed.format(0))
-                        .toString();
+        text.append("  then    ").append(format(recorded)).append('\n');
+        text.append("  again   ").append(format(replayed));
+        stopReason = Optional.of(text.toString());
+    }
+
+    private static String format(Optional<CaptureEvent> order) {
+        return order.map(event -> event.format(0)).orElse("nothing");
     }
 }
--- a/src/main/java/sprucelanding/replay/capture/RecordingInput.java
+++ b/src/main/java/sprucelanding/replay/capture/RecordingInput.java
@@ -15,18 +15,38 @@
 import sprucelanding.control.discovery.ListedEndpoint;
 import sprucelanding.control.loadreport.LoadReport;
 
-/** Stands between a governor and its module: passes all on, and puts it down. */
+/**
+ * Records what a controller is told and what it orders, and passes all of it on. It stands between
+ * a governor's core and its controller, and listens to what else the core receives and sends.
+ * Called on the governor's thread alone.
+ */
 public final class RecordingInput implements ControllerInput, InputListener {
     /** Where events go. */
     public interface Sink {
+        /**
+         * Takes an event.
+         *
+         * @param at when it happened, in ms on the governor's clock
+         * @param type what happened
+         * @param fields one value for each of the type's fields, of the field's Java type
+         */
         void append(double at, EventType type, Object... fields);
     }
 
+    /** Recorded as the type of updates that are NETCONF edits, which have no resource type. */
+    private static final String EDIT = "EDIT";
+
     private final ControllerInput controller;
     private final Sink sink;
     private double now;
     private final RecordingOutput recordingOutput = new RecordingOutput();
 
+    /**
+     * Records one controller.
+     *
+     * @param controller what inputs are passed on to
+     * @param sink where events go
+     */
     public RecordingInput(ControllerInput controller, Sink sink) {
         this.controller = controller;
         this.sink = sink;
@@ -133,19 +153,7 @@
     @Override
     public void loadReported(double at, LoadReport report) {
         sink.append(at, EventType.REPORT, at, report.proxyId(), report.spanMillis());
-        report.endpointStats()
-                .forEach(
-                        load ->
-                                sink.append(
-                                        at,
-                                        EventType.REPORT_MET,
-                                        load.endpointId(),
-                                        load.issued(),
-                                        load.completed(),
-                                        load.failed(),
-                                        load.totalResponseMillis(),
-                                        load.loadSum(),
-                                        load.loadSamples()));
+        report.endpointStats().forEach(stats -> recordEndpointStats(at, stats));
         for (int classIndex = 0; classIndex < report.requestsByClass().size(); classIndex++) {
             sink.append(
                     at,
@@ -155,6 +163,19 @@
         }
     }
 
+    private void recordEndpointStats(double at, LoadReport.EndpointStats stats) {
+        sink.append(
+                at,
+                EventType.REPORT_MET,
+                stats.endpointId(),
+                stats.issued(),
+                stats.completed(),
+                stats.failed(),
+                stats.totalResponseMillis(),
+                stats.loadSum(),
+                stats.loadSamples());
+    }
+
     @Override
     public void updateSent(double at, ResourceUpdate update) {
         sink.append(
@@ -163,7 +184,7 @@
                 at,
                 update.stream.proxyId,
                 update.id,
-                update.type == null ? "EDIT" : update.type.name(),
+                update.type == null ? EDIT : update.type.name(),
                 update.entryCount());
     }
 
@@ -172,6 +193,7 @@
         sink.append(at, EventType.ANSWERED, at, proxyId, messageId, refusal == null ? "" : refusal);
     }
 
+    /** Records orders before they are passed on to the output of the decision in progress. */
     private final class RecordingOutput implements ControllerOutput {
         private ControllerOutput delegate;
 
--- a/src/test/java/sprucelanding/replay/capture/CaptureTest.java
+++ b/src/test/java/sprucelanding/replay/capture/CaptureTest.java
@@ -1,7 +1,6 @@
 package sprucelanding.replay.capture;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,6 +13,7 @@
 import java.util.Arrays;
 import java.util.BitSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
@@ -120,7 +120,7 @@
         assertNull(capture.truncation());
         DecisionReplay replay = new DecisionReplay(controller(1));
         capture.forEachEvent(replay::onEvent);
-        assertNull(replay.stopReason());
+        assertEquals(Optional.empty(), replay.stopReason());
         assertTrue(replay.orderCount() > 100, "orders: " + replay.orderCount());
     }
 
@@ -144,12 +144,12 @@
                                             Math.nextUp(event.doubleAt(2)))
                                     : event);
                 });
-        assertNotNull(replay.stopReason());
+        assertTrue(replay.stopReason().isPresent());
         assertTrue(
-                replay.stopReason().contains("differs")
-                        && replay.stopReason().contains("before")
-                        && replay.stopReason().contains("then"),
-                replay.stopReason());
+                replay.stopReason().orElseThrow().contains("differs")
+                        && replay.stopReason().orElseThrow().contains("before")
+                        && replay.stopReason().orElseThrow().contains("then"),
+                replay.stopReason().toString());
     }
 
     @Test
@@ -253,7 +253,9 @@
                 faults.get(0).contains(" " + capture.gaps().get(0).events() + " events"),
                 faults.get(0));
         assertTrue(capture.gaps().get(0).from() < capture.gaps().get(0).to());
-        assertTrue(replay.stopReason().contains("dropped"), replay.stopReason());
+        assertTrue(
+                replay.stopReason().orElseThrow().contains("dropped"),
+                replay.stopReason().toString());
     }
 
     @Test
