--- a/src/main/java/sprucelanding/cli/ConfigOverlay.java
+++ b/src/main/java/sprucelanding/cli/ConfigOverlay.java
@@ -5,26 +5,30 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** The option of records that are laid over a station. */
+/**
+ * The option for a file of records that is laid over governors' configurations: its fields take the
+ * place of theirs. Without it, all getters return null, as the callers of records take it.
+ */
 final class ConfigOverlay {
     @Option(names = "--with", description = "records laid over each governor's station")
     private Path file;
 
+    /** Whether the option was given. */
     boolean isGiven() {
         return file != null;
     }
 
-    /** Null if none was given. */
+    /** The file; null if none was given. */
     Path file() {
         return file;
     }
 
-    /** What faults in it are told by; null if none was given. */
+    /** The name that messages have for it; null if none was given. */
     String name() {
         return file == null ? null : file.toString();
     }
 
-    /** Null if none was given. */
+    /** The file's text; null if none was given. */
     String text() throws IOException {
         return file == null ? null : Files.readString(file);
     }
--- a/src/main/java/sprucelanding/cli/ExpectCommand.java
+++ b/src/main/java/sprucelanding/cli/ExpectCommand.java
@@ -6,19 +6,22 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
+import sprucelanding.config.governor.GovernorConfig;
 import sprucelanding.config.records.Records;
 import sprucelanding.simulation.emulator.Emulation;
 import sprucelanding.simulation.expectation.ExpectationChecker;
 import sprucelanding.simulation.expectation.Expectations;
 import sprucelanding.simulation.scenario.Scenario;
 
-/** Routing expectations, checked without traffic. */
+/** Checks expectations of the routing against a governor's decisions, without traffic. */
 @Command(
         name = "expect",
         mixinStandardHelpOptions = true,
         description =
                 "Checks what staff expect of the routing against the governor's own decisions, without traffic; exit 1 if one fails.")
 final class ExpectCommand implements Callable<Integer> {
+    private static final double NANOS_PER_SECOND = 1e9;
+
     @Parameters(paramLabel = "FILE", description = "expectations, a file or folder of records")
     private Path expectationsFile;
 
@@ -36,39 +39,37 @@
                 Scenario.read(expectationsFile.toAbsolutePath().resolveSibling(expectations.day()));
         scenario.check();
         long startNanos = System.nanoTime();
-        ExpectationChecker.CheckReport outcome =
-                new ExpectationChecker(
-                                scenario,
-                                Emulation.governorConfigs(scenario, overlay.name(), overlay.text())
-                                        .get(0))
-                        .check(expectations);
-        double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
-        for (Expectations.Expectation expectation : expectations.expectations()) {
-            String failure = outcome.failed().get(expectation.name());
-            System.out.printf(
-                    "%-7s %s%s%n",
-                    failure != null
-                            ? "FAILED"
-                            : outcome.neverApplied().contains(expectation.name())
-                                    ? "NEVER"
-                                    : "holds",
-                    expectation.name(),
-                    failure != null
-                            ? ": " + failure
-                            : outcome.neverApplied().contains(expectation.name())
-                                    ? ": it never applied"
-                                    : "");
-        }
-        outcome.contradictions()
+        GovernorConfig config =
+                Emulation.governorConfigs(scenario, overlay.name(), overlay.text()).get(0);
+        ExpectationChecker.CheckReport report =
+                new ExpectationChecker(scenario, config).check(expectations);
+        double elapsedSeconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
+        expectations.expectations().forEach(expectation -> print(expectation.name(), report));
+        report.contradictions()
                 .forEach(contradiction -> System.out.println("CONTRADICT " + contradiction));
         System.out.printf(
                 Locale.ROOT,
                 "%d stories of %d replicas in %.1f s, %.0f a second; %d bugs (no traffic; decisions in virtual time)%n",
-                outcome.stories(),
+                report.stories(),
                 scenario.replicas().count(),
                 elapsedSeconds,
-                outcome.stories() / elapsedSeconds,
-                outcome.bugs());
-        return outcome.passed() ? 0 : 1;
+                report.stories() / elapsedSeconds,
+                report.bugs());
+        return ExitCode.of(report.passed());
+    }
+
+    private static void print(String expectation, ExpectationChecker.CheckReport report) {
+        String failure = report.failed().get(expectation);
+        if (failure != null) {
+            printLine("FAILED", expectation + ": " + failure);
+        } else if (report.neverApplied().contains(expectation)) {
+            printLine("NEVER", expectation + ": it never applied");
+        } else {
+            printLine("holds", expectation);
+        }
+    }
+
+    private static void printLine(String result, String text) {
+        System.out.printf("%-7s %s%n", result, text);
     }
 }
--- /dev/null
+++ b/src/main/java/sprucelanding/cli/GovernCommand.java
@@ -0,0 +1,48 @@
+package sprucelanding.cli;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
+import picocli.CommandLine.Option;
+import sprucelanding.config.governor.GovernorConfig;
+
+/** Runs a governor in this process until the process is told to stop. */
+@Command(
+        name = "govern",
+        mixinStandardHelpOptions = true,
+        description = "Runs a governor until it is stopped.")
+final class GovernCommand implements Callable<Integer> {
+    private static final Logger LOG = LoggerFactory.getLogger("sprucelanding.govern");
+
+    /** How long the shutdown waits for proxies to move to other governors. */
+    private static final double HANDOVER_TIMEOUT_MILLIS = 2500;
+
+    @Option(names = "--config", required = true, description = "its station, a file of records")
+    private Path config;
+
+    @Mixin private ConfigOverlay overlay;
+
+    @Override
+    public Integer call() throws Exception {
+        String text = Files.readString(config);
+        GovernorConfig governorConfig =
+                GovernorConfig.parse(
+                        String.valueOf(config.getFileName()), text, overlay.name(), overlay.text());
+        GovernorInstance instance = GovernorFactory.create(governorConfig, text);
+        boolean hasPeers = !governorConfig.peers().others().isEmpty();
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(instance, hasPeers)));
+        instance.start(governorConfig.reports().every());
+        Thread.currentThread().join();
+        return ExitCode.OK;
+    }
+
+    private static void stop(GovernorInstance instance, boolean hasPeers) {
+        boolean proxiesHandedOver = hasPeers && instance.governor().drain(HANDOVER_TIMEOUT_MILLIS);
+        LOG.atInfo().setMessage("stops").addKeyValue("proxiesSentOn", proxiesHandedOver).log();
+        instance.close();
+    }
+}
--- a/src/main/java/sprucelanding/cli/GovernorFactory.java
+++ b/src/main/java/sprucelanding/cli/GovernorFactory.java
@@ -4,11 +4,13 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sprucelanding.config.governor.GovernorComponents;
 import sprucelanding.config.governor.GovernorConfig;
+import sprucelanding.control.core.ControllerInput;
 import sprucelanding.control.core.DirectInput;
 import sprucelanding.control.core.InputListener;
 import sprucelanding.control.decision.RoutingController;
@@ -22,195 +24,186 @@
 import sprucelanding.runtime.governor.Governor;
 import sprucelanding.runtime.governor.PeerKeys;
 
-/** Puts a governor together from what it is told. */
-public final class GovernorFactory {
-    /** A governor and its fronts, not started; netconf is null where there is none. */
-    public record GovernorInstance(
-            Governor governor,
-            XdsFront xdsFront,
-            NetconfFront netconfFront,
-            CaptureWriter captureWriter) {
-        public void start(double reportIntervalMillis) throws IOException {
-            governor.start(reportIntervalMillis);
-            xdsFront.start();
-            if (netconfFront != null) {
-                netconfFront.start();
-            }
-        }
-
-        public void close() {
-            governor.close();
-            if (captureWriter != null) {
-                captureWriter.close();
-            }
-        }
-    }
-
+/** Creates governors from their configuration. */
+final class GovernorFactory {
     private static final Logger LOG = LoggerFactory.getLogger(GovernorFactory.class);
+    private static final String RATE_ADMISSION = "rate";
+    private static final int MEBIBYTE_SHIFT = 20;
+
+    /** How inputs reach the controller: directly, or through a recorder that also listens. */
+    private record InputPath(ControllerInput input, InputListener listener) {}
 
     private GovernorFactory() {}
 
     /**
-     * Throws IllegalArgumentException, which names the field, for what the records' types cannot
-     * say.
+     * Creates a governor with its fronts. Its capture is opened here, and one of an earlier
+     * incarnation is moved out of the way.
      *
-     * @param text the station as it was written, for a capture
+     * @param config the configuration
+     * @param configText the configuration as it was written, for the capture
+     * @throws IllegalArgumentException with the field, for what the types of records cannot say
+     * @throws IOException for a file that cannot be read or written
      */
-    public static GovernorInstance create(GovernorConfig config, String configText)
-            throws IOException {
+    static GovernorInstance create(GovernorConfig config, String configText) throws IOException {
         RoutingController controller = GovernorComponents.controller(config);
-        CaptureWriter captureWriter = openCapture(config, configText);
-        RecordingInput recorder =
-                captureWriter == null
-                        ? null
-                        : new RecordingInput(new DirectInput(controller), captureWriter::append);
-        Governor.PeerSettings peers = createPeers(config);
+        Optional<CaptureWriter> captureWriter = openCapture(config, configText);
         Governor governor =
-                new Governor(
-                        new Governor.SiteNames(
-                                config.products().stream()
-                                        .map(GovernorConfig.RequestClassConfig::name)
-                                        .toList(),
-                                config.zones(),
-                                config.kinds()),
-                        new Governor.DiscoverySettings(
-                                parseAddress(config.roster().at(), "roster.at"),
-                                config.roster().from() == null
-                                        ? null
-                                        : new InetSocketAddress(config.roster().from(), 0),
-                                config.roster().pushed(),
-                                config.roster().keep() == null
-                                        ? null
-                                        : Path.of(config.roster().keep())),
-                        new Governor.HealthCheckSettings(
-                                config.probes().allowed(), config.probes().timeout()),
-                        config.admits().equals("rate"),
-                        peers,
-                        host ->
-                                GovernorComponents.core(
-                                        config,
-                                        host,
-                                        controller,
-                                        captureWriter == null
-                                                ? new DirectInput(controller)
-                                                : recorder,
-                                        captureWriter == null ? InputListener.NONE : recorder,
-                                        System.currentTimeMillis() - EventLoop.nowMillis()));
-        XdsFront xdsFront =
-                new XdsFront(
+                createGovernor(config, controller, inputPath(controller, captureWriter));
+        XdsFront xdsFront = createXdsFront(config, governor);
+        governor.addFront(xdsFront);
+        Optional<NetconfFront> netconfFront = createNetconfFront(config, governor);
+        netconfFront.ifPresent(governor::addFront);
+        return new GovernorInstance(governor, xdsFront, netconfFront, captureWriter);
+    }
+
+    private static InputPath inputPath(
+            RoutingController controller, Optional<CaptureWriter> captureWriter) {
+        ControllerInput direct = new DirectInput(controller);
+        if (captureWriter.isEmpty()) {
+            return new InputPath(direct, InputListener.NONE);
+        }
+        RecordingInput recorder = new RecordingInput(direct, captureWriter.get()::append);
+        return new InputPath(recorder, recorder);
+    }
+
+    private static Governor createGovernor(
+            GovernorConfig config, RoutingController controller, InputPath inputPath)
+            throws IOException {
+        Governor.PeerSettings peers = createPeers(config);
+        return new Governor(
+                siteNames(config),
+                discoverySettings(config.roster()),
+                new Governor.HealthCheckSettings(
+                        config.probes().allowed(), config.probes().timeout()),
+                config.admits().equals(RATE_ADMISSION),
+                peers,
+                host ->
+                        GovernorComponents.core(
+                                config,
+                                host,
+                                controller,
+                                inputPath.input,
+                                inputPath.listener,
+                                System.currentTimeMillis() - EventLoop.nowMillis()));
+    }
+
+    private static Governor.SiteNames siteNames(GovernorConfig config) {
+        return new Governor.SiteNames(
+                config.products().stream().map(GovernorConfig.RequestClassConfig::name).toList(),
+                config.zones(),
+                config.kinds());
+    }
+
+    private static Governor.DiscoverySettings discoverySettings(
+            GovernorConfig.DiscoveryConfig discovery) {
+        return new Governor.DiscoverySettings(
+                SocketAddresses.parse(discovery.at(), "roster.at"),
+                discovery.from() == null ? null : new InetSocketAddress(discovery.from(), 0),
+                discovery.pushed(),
+                discovery.keep() == null ? null : Path.of(discovery.keep()));
+    }
+
+    private static XdsFront createXdsFront(GovernorConfig config, Governor governor)
+            throws IOException {
+        return new XdsFront(
+                governor,
+                governor,
+                config.name(),
+                SocketAddresses.parse(config.xds().at(), "xds.at"),
+                config.xds().largest(),
+                config.reports().every());
+    }
+
+    private static Optional<NetconfFront> createNetconfFront(
+            GovernorConfig config, Governor governor) throws IOException {
+        GovernorConfig.NetconfConfig netconf = config.netconf();
+        if (netconf == null) {
+            return Optional.empty();
+        }
+        return Optional.of(
+                new NetconfFront(
                         governor,
                         governor,
                         config.name(),
-                        parseAddress(config.xds().at(), "xds.at"),
-                        config.xds().largest(),
-                        config.reports().every());
-        governor.addFront(xdsFront);
-        GovernorConfig.NetconfConfig netconfConfig = config.netconf();
-        NetconfFront netconfFront =
-                netconfConfig == null
-                        ? null
-                        : new NetconfFront(
-                                governor,
-                                governor,
-                                config.name(),
-                                parseAddress(netconfConfig.at(), "netconf.at"),
-                                new DeviceKeys(
-                                        Path.of(netconfConfig.key()),
-                                        Path.of(netconfConfig.devices())),
-                                netconfConfig.user(),
-                                netconfConfig.largest(),
-                                new NetconfFront.EditLimits(
-                                        netconfConfig.answers(),
-                                        netconfConfig.confirms(),
-                                        netconfConfig.locks(),
-                                        netconfConfig.atOnce()));
-        if (netconfFront != null) {
-            governor.addFront(netconfFront);
-        }
-        return new GovernorInstance(governor, xdsFront, netconfFront, captureWriter);
+                        SocketAddresses.parse(netconf.at(), "netconf.at"),
+                        new DeviceKeys(Path.of(netconf.key()), Path.of(netconf.devices())),
+                        netconf.user(),
+                        netconf.largest(),
+                        new NetconfFront.EditLimits(
+                                netconf.answers(),
+                                netconf.confirms(),
+                                netconf.locks(),
+                                netconf.atOnce())));
     }
 
     /**
-     * Null if it is alone; throws IllegalArgumentException with the field, or IOException for what
-     * its files say.
+     * The settings of a shared fleet; null, as {@link Governor} takes it, without other governors.
      */
     private static Governor.PeerSettings createPeers(GovernorConfig config) throws IOException {
-        GovernorConfig.PeersConfig peersConfig = config.peers();
-        if (peersConfig.others().isEmpty()) {
+        GovernorConfig.PeersConfig peers = config.peers();
+        if (peers.others().isEmpty()) {
             return null;
         }
-        requirePeerSettings(peersConfig);
-        Map<Integer, InetSocketAddress> peerAddresses = new TreeMap<>();
-        peersConfig
-                .others()
-                .forEach(
-                        peer ->
-                                peerAddresses.put(
-                                        peer.number(), parseAddress(peer.at(), "peers.others")));
-        GenerationFile incarnation =
+        requirePeerSettings(peers);
+        Map<Integer, InetSocketAddress> addressByNumber = new TreeMap<>();
+        for (GovernorConfig.PeerConfig peer : peers.others()) {
+            addressByNumber.put(peer.number(), SocketAddresses.parse(peer.at(), "peers.others"));
+        }
+        GenerationFile generationFile =
                 new GenerationFile(
-                        peersConfig.keep() == null ? null : Path.of(peersConfig.keep()),
+                        peers.keep() == null ? null : Path.of(peers.keep()),
                         System.currentTimeMillis());
         return new Governor.PeerSettings(
                 GovernorComponents.fleetMember(
-                        config, incarnation.generation(), EventLoop.nowMillis()),
-                parseAddress(peersConfig.at(), "peers.at"),
-                peerAddresses,
-                new PeerKeys(Path.of(peersConfig.key())),
-                incarnation);
+                        config, generationFile.generation(), EventLoop.nowMillis()),
+                SocketAddresses.parse(peers.at(), "peers.at"),
+                addressByNumber,
+                new PeerKeys(Path.of(peers.key())),
+                generationFile);
     }
 
-    private static void requirePeerSettings(GovernorConfig.PeersConfig peersConfig) {
-        if (peersConfig.at() == null || peersConfig.key() == null) {
+    private static void requirePeerSettings(GovernorConfig.PeersConfig peers) {
+        if (peers.at() == null || peers.key() == null) {
             throw new IllegalArgumentException(
                     "peers."
-                            + (peersConfig.at() == null ? "at" : "key")
+                            + (peers.at() == null ? "at" : "key")
                             + ": missing, but there are others");
         }
     }
 
-    private static CaptureWriter openCapture(GovernorConfig config, String configText)
+    private static Optional<CaptureWriter> openCapture(GovernorConfig config, String configText)
             throws IOException {
-        GovernorConfig.CaptureConfig captureConfig = config.capture();
-        if (captureConfig == null) {
-            return null;
+        GovernorConfig.CaptureConfig capture = config.capture();
+        if (capture == null) {
+            return Optional.empty();
         }
-        Path file = Path.of(captureConfig.file());
+        Path file = Path.of(capture.file());
         CaptureWriter.rotate(file);
-        return new CaptureWriter(
-                file,
-                configText,
-                captureConfig.waits(),
-                (long) captureConfig.most() << 20,
-                fault ->
-                        LOG.atWarn()
-                                .setMessage(fault)
-                                .addKeyValue("file", captureConfig.file())
-                                .log());
+        return Optional.of(
+                new CaptureWriter(
+                        file,
+                        configText,
+                        capture.waits(),
+                        (long) capture.most() << MEBIBYTE_SHIFT,
+                        fault ->
+                                LOG.atWarn()
+                                        .setMessage(fault)
+                                        .addKeyValue("file", capture.file())
+                                        .log()));
     }
 
-    /** All of a station but its sockets; throws IllegalArgumentException with the field. */
+    /**
+     * Checks all of a configuration that can be checked without opening sockets or files.
+     *
+     * @throws IllegalArgumentException with the field
+     */
     static void validate(GovernorConfig config) {
         GovernorComponents.controller(config);
         GovernorComponents.fleetMember(config, 0, 0);
         if (!config.peers().others().isEmpty()) {
             requirePeerSettings(config.peers());
         }
-        parseAddress(config.xds().at(), "xds.at");
-        parseAddress(config.roster().at(), "roster.at");
-    }
-
-    /** host:port; throws IllegalArgumentException with the field's name. */
-    static InetSocketAddress parseAddress(String configText, String field) {
-        int colon = configText.lastIndexOf(':');
-        try {
-            int port = Integer.parseInt(configText.substring(colon + 1));
-            if (colon > 0 && port >= 0 && port <= 65_535) {
-                return new InetSocketAddress(configText.substring(0, colon), port);
-            }
-        } catch (NumberFormatException e) {
-            // said below
-        }
-        throw new IllegalArgumentException(field + ": \"" + configText + "\" is no host:port");
+        SocketAddresses.parse(config.xds().at(), "xds.at");
+        SocketAddresses.parse(config.roster().at(), "roster.at");
     }
 }
--- a/src/main/java/sprucelanding/cli/SoakCommand.java
+++ b/src/main/java/sprucelanding/cli/SoakCommand.java
@@ -1,5 +1,6 @@
 package sprucelanding.cli;
 
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -8,10 +9,7 @@
 import sprucelanding.simulation.soak.SoakPlan;
 import sprucelanding.simulation.soak.SoakRunner;
 
-/**
- * Plays random, overlapping faults over real governor processes on loopback. Exit code 1 if a rule
- * was broken.
- */
+/** Injects random, overlapping faults into governor processes on loopback and checks the rules. */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
@@ -64,25 +62,30 @@
 
     @Override
     public Integer call() throws Exception {
-        if (runs < 1 || !(seconds > 0) || governors < 1 || proxies < 1 || !(interval > 0)) {
-            throw new IllegalArgumentException(
-                    "soak: runs, seconds, governors, proxies and interval must be above 0");
-        }
+        requirePositiveOptions();
         boolean allRulesKept = true;
         for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
-            SoakPlan plan =
-                    failover
-                            ? SoakPlan.failover(runSeed, governors, proxies)
-                            : SoakPlan.random(
-                                    runSeed, seconds * 1000, governors, proxies, interval);
-            Path folder =
-                    logs == null
-                            ? Files.createTempDirectory("soak")
-                            : logs.resolve("seed-" + runSeed);
-            SoakRunner.Report report = SoakRunner.run(plan, folder);
+            SoakRunner.Report report = SoakRunner.run(plan(runSeed), folder(runSeed));
             System.out.println(report);
             allRulesKept &= report.kept();
         }
-        return allRulesKept ? 0 : 1;
+        return ExitCode.of(allRulesKept);
+    }
+
+    private void requirePositiveOptions() {
+        if (runs < 1 || !(seconds > 0) || governors < 1 || proxies < 1 || !(interval > 0)) {
+            throw new IllegalArgumentException(
+                    "soak: runs, seconds, governors, proxies and interval must be above 0");
+        }
+    }
+
+    private SoakPlan plan(long runSeed) {
+        return failover
+                ? SoakPlan.failover(runSeed, governors, proxies)
+                : SoakPlan.random(runSeed, seconds * 1000, governors, proxies, interval);
+    }
+
+    private Path folder(long runSeed) throws IOException {
+        return logs == null ? Files.createTempDirectory("soak") : logs.resolve("seed-" + runSeed);
     }
 }
--- a/src/test/java/sprucelanding/cli/RecordedReportsTest.java
+++ b/src/test/java/sprucelanding/cli/RecordedReportsTest.java
@@ -10,24 +10,31 @@
 import sprucelanding.recorded.Recorded;
 
 /**
- * What the commands print of recorded files, and the reports of an emulated day that other programs
- * read. Masked is only the speed of the machine in the last lines of {@code emulate}. Recordings
- * are written with {@code -Drecorded.write=true} only and never edited later: a difference is a
- * defect of the step.
+ * What the commands print of recorded files, and the reports of an emulated scenario that other
+ * programs read. Masked is only the speed of the machine in the last lines of {@code emulate}.
+ * Recordings are written with {@code -Drecorded.write=true} only and never edited later: a
+ * difference is a defect of the step.
  */
 @Timeout(60)
 class RecordedReportsTest {
-    private static final String DAY = Recorded.file("lab/day.cue").toString();
+    private static final String SCENARIO = Recorded.file("lab/day.cue").toString();
     private static final String CAPTURE = Recorded.file("day/governor-0.cap").toString();
 
     @TempDir private Path folder;
 
     @ParameterizedTest
     @ValueSource(strings = {"GOVERNORS", "EVEN", "HANDS_OFF", "INVERSE", "SEEING"})
-    void anEmulatedDayIsReportedAsRecorded(String policy) throws Exception {
+    void anEmulatedScenarioIsReportedAsRecorded(String policy) throws Exception {
         Path report = folder.resolve("report.json");
         String table =
-                printed("emulate", DAY, "--policy", policy, "--report", report.toString(), "--log");
+                printed(
+                        "emulate",
+                        SCENARIO,
+                        "--policy",
+                        policy,
+                        "--report",
+                        report.toString(),
+                        "--log");
         Recorded.assertText("reports/emulate-" + policy + ".txt", withoutSpeed(table));
         Recorded.assertBytes("reports/emulate-" + policy + ".json", Files.readAllBytes(report));
     }
@@ -69,14 +76,14 @@
     }
 
     @Test
-    void aCapturedDayIsReplayedAsRecorded() throws Exception {
+    void aCapturedScenarioIsReplayedAsRecorded() throws Exception {
         Recorded.assertText(
                 "reports/replay.txt",
                 printed(
                         "replay",
                         Recorded.file("day").toString(),
                         "--fleet",
-                        DAY,
+                        SCENARIO,
                         "--runs",
                         "2",
                         "--spells",
