--- a/src/main/java/sprucelanding/config/configstream/ConfigVersions.java
+++ b/src/main/java/sprucelanding/config/configstream/ConfigVersions.java
@@ -1,271 +1,263 @@
 package sprucelanding.config.configstream;
 
 import java.util.ArrayDeque;
-import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Locale;
+import java.util.Optional;
 import java.util.Set;
+import java.util.function.Supplier;
 
 /**
- * One governor's numbered versions of its configuration. The newest one offered is checked, one at
- * a time; what is overtaken meanwhile is refused unchecked, so that a flood costs one check at a
- * time. A good one waits for a calm fleet, comes in force on probation, and is kept as the last
- * good one, or taken back if service falls. Call clock, then what happened, then decide until it
- * says false.
+ * Decides which of one governor's numbered configuration versions comes in force. The newest one
+ * offered is checked, one at a time; a version that is overtaken meanwhile is rejected unchecked,
+ * so that a flood costs one check at a time. A valid version waits for a calm fleet, comes in force
+ * on probation, and becomes the last good one, or is rolled back if service drops. {@link
+ * VersionState} has the table of transitions.
+ *
+ * <p>The host tells the time by {@link #advanceTo}, then what happened, then calls {@link #decide}
+ * until it returns false. Times are ms on the host's clock. Not thread safe.
  */
 public final class ConfigVersions {
-    /** A version as it was offered; content is told by its digest. */
+    /**
+     * A version as it was offered.
+     *
+     * @param number its number, which must grow
+     * @param digest digest of its content; the same digest is the same content
+     */
     public record Version(long number, String digest) {}
 
+    /** What the host does for the decisions. */
     public interface Actions {
-        /** The host is to check it: types, then expectations; checked tells what came of it. */
+        /** Checks a version, then reports by {@link ConfigVersions#versionChecked}. */
         void checkVersion(Version version);
 
-        /** It is to come in force, now. */
+        /** Brings a version in force now. */
         void applyVersion(Version version);
 
-        /** It stays in force and must last: a restart begins with it. */
+        /** Stores a version, which is in force, so that a restart begins with it. */
         void persistVersion(Version version);
 
-        /** The answer to the source: it goes on with what it had. */
+        /** Answers to the source that it goes on with the version it had. */
         void rejectVersion(Version version, String reason);
 
-        /** Back to the last good one, from this one. */
+        /** Brings the last good version in force again, in place of another. */
         void rollBack(Version from, Version to, String reason);
 
+        /** Logs a text and figures, which are names and values in turn. */
         void logEvent(String text, Object... figures);
     }
 
-    private static final double MAX_CALM_WAIT_MILLIS =
-            60_000; // ms that a good one waits for a calm fleet at the most
-    private static final double PROBATION_MILLIS = 30_000; // ms in which it can be taken back
-    private static final double MAX_SERVICE_DROP = 0.05; // of service, against before
-    private static final double MIN_DROP_MILLIS = 5000; // ms that a fall lasts until it counts
-    private static final double AVERAGING_MILLIS =
-            10_000; // ms over which service before is averaged
-    private static final int MAX_REJECTED_DIGESTS =
-            1000; // digests that were refused or taken back, not tried again
+    /** A rejection that waits for {@link #decide}; the reason is worded then. */
+    private record Rejection(Version version, Supplier<String> reason) {}
+
+    /** How long a valid version waits for a calm fleet. */
+    private static final double MAX_CALM_WAIT_MILLIS = 60_000;
+
+    /** How long a version can be rolled back. */
+    private static final double PROBATION_MILLIS = 30_000;
 
     private final Set<String> immutablePathPrefixes;
-    private final LinkedHashSet<String> rejectedDigests = new LinkedHashSet<>();
-    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
-    private Version lastGood;
-    private Version inForce;
-    private Version offeredVersion;
-    private Version checking;
-    private Version accepted;
-    private long newestNumber;
-    private String newestDigest = "";
-    private Actions actions;
+    private final TrackedVersions versions;
+    private final RejectedDigests rejectedDigests = new RejectedDigests();
+    private final ServiceMonitor serviceMonitor = new ServiceMonitor();
+    private final ArrayDeque<Rejection> pendingRejections = new ArrayDeque<>();
+    private Version newest;
     private double now;
-    private double acceptedSince;
+    private double acceptedAt;
     private double appliedAt;
-    private double baselineService = Double.NaN;
-    private double averageService = Double.NaN;
-    private double serviceReportedAt = Double.NaN;
-    private double lowSince = Double.NaN;
-    private boolean fleetCalm = true;
-    private boolean disturbedBeforeDrop;
 
     /**
-     * @param good the last good one, kept from before; it is in force
-     * @param fixed fields that cannot change in service, by the begin of their paths
+     * Starts with a version that is in force.
+     *
+     * @param lastGood the version that was stored last
+     * @param immutablePathPrefixes prefixes of the paths of fields that cannot change in service
      */
     public ConfigVersions(Version lastGood, Set<String> immutablePathPrefixes) {
-        this.lastGood = lastGood;
-        this.inForce = lastGood;
-        this.newestNumber = lastGood.number;
-        this.newestDigest = lastGood.digest;
+        this.versions = new TrackedVersions(lastGood);
+        this.newest = lastGood;
         this.immutablePathPrefixes = Set.copyOf(immutablePathPrefixes);
     }
 
+    /** Tells the time in ms; it never goes back. */
     public void advanceTo(double time) {
         now = Math.max(now, time);
     }
 
-    /** The source sent a whole version. A stream that ends in the middle of one offers none. */
+    /** The source sent a whole version. A stream that ends within one offers none. */
     public void versionOffered(Version version) {
-        if (version.number == newestNumber && version.digest.equals(newestDigest)) {
-            return; // told again, after a stream broke: it was or will be answered
+        if (version.equals(newest)) {
+            return; // told again after the stream broke: it was or will be answered
         }
-        if (version.number <= newestNumber) {
-            pendingActions.add(
-                    () ->
-                            actions.rejectVersion(
-                                    version,
-                                    version.number == newestNumber
-                                            ? "number "
-                                                    + version.number
-                                                    + " was used for other content"
-                                            : "it goes back: "
-                                                    + newestNumber
-                                                    + " was offered before"));
+        if (version.number <= newest.number) {
+            pendingRejections.add(new Rejection(version, () -> staleReason(version)));
             return;
         }
-        newestNumber = version.number;
-        newestDigest = version.digest;
+        newest = version;
         if (rejectedDigests.contains(version.digest)) {
-            pendingActions.add(
-                    () ->
-                            actions.rejectVersion(
-                                    version, "the same content was refused or taken back before"));
+            addRejection(version, "the same content was refused or taken back before");
             return;
         }
-        rejectOvertaken(offeredVersion, version);
-        rejectOvertaken(accepted, version);
-        accepted = null;
-        offeredVersion = version;
+        rejectOvertaken(VersionState.OFFERED, version);
+        rejectOvertaken(VersionState.ACCEPTED, version);
+        versions.offer(version);
     }
 
-    private void rejectOvertaken(Version overtakenVersion, Version newerVersion) {
-        if (overtakenVersion != null) {
-            pendingActions.add(
-                    () ->
-                            actions.rejectVersion(
-                                    overtakenVersion, "overtaken by " + newerVersion.number));
+    private String staleReason(Version version) {
+        return version.number == newest.number
+                ? "number " + version.number + " was used for other content"
+                : "it goes back: " + newest.number + " was offered before";
+    }
+
+    private void addRejection(Version version, String reason) {
+        pendingRejections.add(new Rejection(version, () -> reason));
+    }
+
+    private void rejectOvertaken(VersionState state, Version newer) {
+        if (!versions.isEmpty(state)) {
+            Version overtaken = versions.move(state, VersionState.REJECTED);
+            addRejection(overtaken, "overtaken by " + newer.number);
         }
     }
 
     /**
-     * What the host's checks found: faults, and the fields whose values differ from those in force.
+     * The host's checks ended.
+     *
+     * @param version the version, as {@link Actions#checkVersion} was given it
+     * @param faults what is wrong with it; empty if nothing
+     * @param changedFields paths of the fields whose values differ from those in force
      */
     public void versionChecked(Version version, List<String> faults, List<String> changedFields) {
-        if (version != checking) {
+        if (version != versions.in(VersionState.CHECKING).orElse(null)) {
             return;
         }
-        checking = null;
-        String immutableField =
-                changedFields.stream()
-                        .filter(field -> immutablePathPrefixes.stream().anyMatch(field::startsWith))
-                        .findFirst()
-                        .orElse(null);
-        if (!faults.isEmpty() || immutableField != null) {
-            reject(
-                    version,
-                    !faults.isEmpty()
-                            ? String.join("; ", faults)
-                            : immutableField + " cannot change in service");
-        } else if (offeredVersion != null) {
-            rejectOvertaken(version, offeredVersion);
-        } else {
-            accepted = version;
-            acceptedSince = now;
+        Optional<String> fault = faultOf(faults, changedFields);
+        if (fault.isPresent()) {
+            versions.move(VersionState.CHECKING, VersionState.REJECTED);
+            rejectedDigests.addRejected(version.digest);
+            addRejection(version, fault.get());
+            return;
+        }
+        Optional<Version> newer = versions.in(VersionState.OFFERED);
+        if (newer.isPresent()) {
+            rejectOvertaken(VersionState.CHECKING, newer.get());
+            return;
         }
+        versions.move(VersionState.CHECKING, VersionState.ACCEPTED);
+        acceptedAt = now;
     }
 
-    private void reject(Version version, String reason) {
-        rejectedDigests.add(version.digest);
-        if (rejectedDigests.size() > MAX_REJECTED_DIGESTS) {
-            rejectedDigests.remove(rejectedDigests.iterator().next());
+    private Optional<String> faultOf(List<String> faults, List<String> changedFields) {
+        if (!faults.isEmpty()) {
+            return Optional.of(String.join("; ", faults));
         }
-        pendingActions.add(() -> actions.rejectVersion(version, reason));
+        return changedFields.stream()
+                .filter(field -> immutablePathPrefixes.stream().anyMatch(field::startsWith))
+                .findFirst()
+                .map(field -> field + " cannot change in service");
     }
 
     /**
-     * Service of late, 0 to 1, and whether the fleet is calm: nothing lost or declined that a
-     * change could make worse.
+     * Reports the fleet's state.
+     *
+     * @param serviceShare service of late, 0 to 1
+     * @param fleetIsCalm whether nothing is lost or rejected that a change could make worse
      */
     public void serviceReported(double serviceShare, boolean fleetIsCalm) {
-        double smoothing =
-                Double.isNaN(serviceReportedAt)
-                        ? 1
-                        : Math.min(1, (now - serviceReportedAt) / AVERAGING_MILLIS);
-        serviceReportedAt = now;
-        averageService =
-                Double.isNaN(averageService)
-                        ? serviceShare
-                        : averageService + (serviceShare - averageService) * smoothing;
-        fleetCalm = fleetIsCalm;
-        disturbedBeforeDrop |=
-                !fleetCalm && Double.isNaN(lowSince); // trouble that began before service fell
-        boolean belowBaseline =
-                inForce != lastGood && serviceShare < baselineService - MAX_SERVICE_DROP;
-        lowSince = !belowBaseline ? Double.NaN : Double.isNaN(lowSince) ? now : lowSince;
+        serviceMonitor.serviceReported(
+                now, serviceShare, fleetIsCalm, !versions.isEmpty(VersionState.PROBATION));
     }
 
+    /** The version in force. */
     public Version inForce() {
-        return inForce;
+        return versions.in(VersionState.PROBATION).orElseGet(this::lastGood);
     }
 
+    /** The last version that passed its probation. */
     public Version lastGood() {
-        return lastGood;
+        return versions.in(VersionState.LAST_GOOD).orElseThrow();
     }
 
-    /** One decision; false if there is none now. */
+    /** Makes one decision; false if there is none to make now. */
     public boolean decide(Actions output) {
-        actions = output;
-        Runnable first = pendingActions.poll();
-        if (first != null) {
-            first.run();
+        Rejection rejection = pendingRejections.poll();
+        if (rejection != null) {
+            output.rejectVersion(rejection.version, rejection.reason.get());
             return true;
         }
-        if (inForce != lastGood) {
-            return reviewProbation(output);
+        if (!versions.isEmpty(VersionState.PROBATION)) {
+            return reviewProbation(output) || checkNext(output);
+        }
+        if (!versions.isEmpty(VersionState.ACCEPTED)) {
+            return reviewAccepted(output) || checkNext(output);
+        }
+        return checkNext(output);
+    }
+
+    private boolean checkNext(Actions output) {
+        if (versions.isEmpty(VersionState.OFFERED) || !versions.isEmpty(VersionState.CHECKING)) {
+            return false;
         }
-        if (accepted != null && fleetCalm) {
-            Version next = accepted;
-            accepted = null;
-            baselineService = averageService;
-            inForce = next;
+        output.checkVersion(versions.move(VersionState.OFFERED, VersionState.CHECKING));
+        return true;
+    }
+
+    private boolean reviewAccepted(Actions output) {
+        if (serviceMonitor.isFleetCalm()) {
+            Version version = versions.move(VersionState.ACCEPTED, VersionState.PROBATION);
             appliedAt = now;
-            disturbedBeforeDrop = false;
-            lowSince = Double.NaN;
-            output.applyVersion(next);
+            serviceMonitor.probationStarted();
+            output.applyVersion(version);
             return true;
         }
-        if (accepted != null && now - acceptedSince > MAX_CALM_WAIT_MILLIS) {
-            Version expired = accepted;
-            accepted = null;
+        if (now - acceptedAt > MAX_CALM_WAIT_MILLIS) {
+            Version version = versions.move(VersionState.ACCEPTED, VersionState.REJECTED);
             output.rejectVersion(
-                    expired,
+                    version,
                     "the fleet was not calm for "
                             + Math.round(MAX_CALM_WAIT_MILLIS / 1000)
                             + " s; offer it again");
             return true;
         }
-        return checkNext(output);
-    }
-
-    private boolean checkNext(Actions output) {
-        if (offeredVersion != null && checking == null) {
-            checking = offeredVersion;
-            offeredVersion = null;
-            output.checkVersion(checking);
-            return true;
-        }
         return false;
     }
 
     private boolean reviewProbation(Actions output) {
-        if (now - lowSince > MIN_DROP_MILLIS && !disturbedBeforeDrop) {
-            Version from = inForce;
-            inForce = lastGood;
-            rejectedDigests.add(from.digest);
-            output.rollBack(
-                    from,
-                    lastGood,
-                    String.format(
-                            java.util.Locale.ROOT,
-                            "service fell from %.3f to %.3f within %.0f s of it",
-                            baselineService,
-                            averageService,
-                            (now - appliedAt) / 1000));
+        if (serviceMonitor.hasDropped(now)) {
+            if (serviceMonitor.wasDisturbedBeforeDrop()) {
+                reportDisturbedDrop(output);
+            } else {
+                rollBack(output);
+            }
             return true;
         }
-        if (now - lowSince > MIN_DROP_MILLIS
-                && disturbedBeforeDrop) { // the fleet's own trouble may be why: told, and left to
-            // staff
-            lowSince = Double.NaN;
-            output.logEvent(
-                    "service fell under a version on probation, but the fleet is not calm",
-                    "version",
-                    inForce.number);
+        if (now - appliedAt > PROBATION_MILLIS && !serviceMonitor.isLow()) {
+            versions.move(VersionState.LAST_GOOD, VersionState.REPLACED);
+            output.persistVersion(versions.move(VersionState.PROBATION, VersionState.LAST_GOOD));
             return true;
         }
-        if (now - appliedAt > PROBATION_MILLIS && Double.isNaN(lowSince)) {
-            lastGood = inForce;
-            output.persistVersion(lastGood);
-            return true;
-        }
-        return checkNext(output);
+        return false;
+    }
+
+    /** A fault of the fleet may be why service dropped: the decision is left to operators. */
+    private void reportDisturbedDrop(Actions output) {
+        serviceMonitor.forgetDrop();
+        output.logEvent(
+                "service fell under a version on probation, but the fleet is not calm",
+                "version",
+                inForce().number);
+    }
+
+    private void rollBack(Actions output) {
+        Version from = versions.move(VersionState.PROBATION, VersionState.ROLLED_BACK);
+        rejectedDigests.addRolledBack(from.digest);
+        output.rollBack(
+                from,
+                lastGood(),
+                String.format(
+                        Locale.ROOT,
+                        "service fell from %.3f to %.3f within %.0f s of it",
+                        serviceMonitor.baselineService(),
+                        serviceMonitor.averageService(),
+                        (now - appliedAt) / 1000));
     }
 }
--- a/src/main/java/sprucelanding/config/governor/GovernorComponents.java
+++ b/src/main/java/sprucelanding/config/governor/GovernorComponents.java
@@ -20,63 +20,96 @@
 import sprucelanding.control.membership.ProxyQuota;
 
 /**
- * A governor's parts as a station sets them up: the same for the service, a capture and the
- * emulator.
+ * Creates the parts of a governor that need no sockets: the same for the service, for the replay of
+ * a capture, and for the emulator.
  */
 public final class GovernorComponents {
-    /** A moment's orders become two responses at most on an ordinary path: lines, and the route. */
+    private static final String SAFE_TO_RETRY = "safe";
+    private static final String RATE_ADMISSION = "rate";
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    /** A batch of orders becomes two responses at most: table entries and the route. */
     private static final int RESPONSES_PER_BATCH = 2;
 
+    /** Most that the paces of two governors' clocks differ, as a share. */
+    private static final double MAX_CLOCK_DRIFT = 0.02;
+
+    private static final double HEARTBEATS_PER_LEASE = 15;
+
+    /** A peer is suspected after one such timeout, and dead after another. */
+    private static final double SUSPICION_TIMEOUTS_PER_LEASE = 3;
+
+    /** How long a starting governor waits for others' evidence, in intervals of load reports. */
+    private static final double CATCH_UP_REPORT_INTERVALS = 1.5;
+
+    /** What {@link ProxyQuota} takes for a governor without a zone. */
+    private static final int NO_ZONE = -1;
+
     private GovernorComponents() {}
 
     /**
-     * Throws IllegalArgumentException, which names the field, for what the records' types cannot
-     * say.
+     * Creates a controller.
+     *
+     * @throws IllegalArgumentException with the field, for what the types of records cannot say
      */
     public static RoutingController controller(GovernorConfig config) {
-        RequestClass[] requestClasses = new RequestClass[config.products().size()];
-        for (int index = 0; index < requestClasses.length; index++) {
-            GovernorConfig.RequestClassConfig classConfig = config.products().get(index);
-            requestClasses[index] =
-                    new RequestClass(
-                            index,
-                            classConfig.retry().equals("safe"),
-                            classConfig.revenue(),
-                            classConfig.sla(),
-                            indexesOf(
-                                    classConfig.kinds(),
-                                    config.kinds(),
-                                    "products[" + index + "].kinds"),
-                            indexesOf(
-                                    classConfig.zones(),
-                                    config.zones(),
-                                    "products[" + index + "].zones"),
-                            classConfig.homeOnly());
-        }
         RoutingController controller =
                 GovernorCore.newController(
                         config.seed(),
-                        requestClasses,
+                        requestClasses(config),
                         config.zones().size(),
-                        config.admits().equals("rate") ? AdmissionMode.RATE : AdmissionMode.SHARE);
-        GovernorConfig.ChannelConfig channel = config.channel();
+                        config.admits().equals(RATE_ADMISSION)
+                                ? AdmissionMode.RATE
+                                : AdmissionMode.SHARE);
+        GovernorConfig.DiscoveryConfig discovery = config.roster();
         controller.configureEndpointList(
-                config.roster().pushed(),
-                config.roster().softRemoval(),
-                config.roster().coldFrom(),
-                config.roster().warmAfter());
+                discovery.pushed(),
+                discovery.softRemoval(),
+                discovery.coldFrom(),
+                discovery.warmAfter());
+        GovernorConfig.ChannelConfig channel = config.channel();
         controller.configureChannel(
-                channel.lines() / 1000,
+                channel.lines() / MILLIS_PER_SECOND,
                 channel.head(),
                 channel.most(),
-                channel.messages() == 0 ? 0 : Math.max(1, channel.messages() / RESPONSES_PER_BATCH),
+                batchesPerSpan(channel),
                 channel.span());
         controller.configureReports(config.probes().allowed(), config.reports().every());
         return controller;
     }
 
+    private static RequestClass[] requestClasses(GovernorConfig config) {
+        RequestClass[] requestClasses = new RequestClass[config.products().size()];
+        for (int index = 0; index < requestClasses.length; index++) {
+            GovernorConfig.RequestClassConfig requestClass = config.products().get(index);
+            String field = "products[" + index + "]";
+            requestClasses[index] =
+                    new RequestClass(
+                            index,
+                            requestClass.retry().equals(SAFE_TO_RETRY),
+                            requestClass.revenue(),
+                            requestClass.sla(),
+                            indexesOf(requestClass.kinds(), config.kinds(), field + ".kinds"),
+                            indexesOf(requestClass.zones(), config.zones(), field + ".zones"),
+                            requestClass.homeOnly());
+        }
+        return requestClasses;
+    }
+
+    /** Batches of orders to one proxy within a span; 0 for no limit. */
+    private static int batchesPerSpan(GovernorConfig.ChannelConfig channel) {
+        return channel.messages() == 0 ? 0 : Math.max(1, channel.messages() / RESPONSES_PER_BATCH);
+    }
+
     /**
-     * @param wallOffset what a wall clock's ms have to lose to be the host's
+     * Creates a core around a controller.
+     *
+     * @param config the configuration
+     * @param host what the core acts on
+     * @param controller the controller, as {@link #controller} creates it
+     * @param input how the core reaches the controller
+     * @param listener told of what the core receives and sends
+     * @param wallOffsetMillis wall clock time minus the host's time, in ms
      */
     public static GovernorCore core(
             GovernorConfig config,
@@ -85,15 +118,8 @@
             ControllerInput input,
             InputListener listener,
             double wallOffsetMillis) {
-        GovernorConfig.ChannelConfig channel = config.channel();
-        Delivery delivery =
-                new Delivery(
-                        channel.messages(),
-                        channel.span(),
-                        channel.leftBehind(),
-                        channel.patience(),
-                        channel.grace());
-        delivery.setChannelLimits(channel.lines() / 1000, channel.head(), channel.most());
+        GovernorConfig.StreamsConfig streams = config.streams();
+        GovernorConfig.LoadReportConfig reports = config.reports();
         return new GovernorCore(
                 host,
                 controller,
@@ -103,82 +129,102 @@
                 config.kinds(),
                 config.probes().allowed(),
                 wallOffsetMillis,
-                delivery,
-                new StreamAdmission(
-                        config.streams().atOnce(),
-                        config.streams().most(),
-                        config.streams().turn()),
+                delivery(config.channel()),
+                new StreamAdmission(streams.atOnce(), streams.most(), streams.turn()),
                 new LoadReportAggregator(
-                        config.products().size(),
-                        config.reports().every(),
-                        config.reports().lines()));
+                        config.products().size(), reports.every(), reports.lines()));
+    }
+
+    private static Delivery delivery(GovernorConfig.ChannelConfig channel) {
+        Delivery delivery =
+                new Delivery(
+                        channel.messages(),
+                        channel.span(),
+                        channel.leftBehind(),
+                        channel.patience(),
+                        channel.grace());
+        delivery.setChannelLimits(
+                channel.lines() / MILLIS_PER_SECOND, channel.head(), channel.most());
+        return delivery;
     }
 
     /**
-     * Its part in a shared fleet; null if it is alone.
+     * Creates a governor's part in a shared fleet.
      *
-     * @param life ms since 1970 at its start, and above any epoch that it heard of before
-     * @param now ms on the host's clock
+     * @param config the configuration
+     * @param generation ms since 1970 at the governor's start, and above that of any earlier
+     *     incarnation
+     * @param now the host's time in ms
+     * @return null if the governor has the fleet alone
+     * @throws IllegalArgumentException with the field, if the governors' numbers do not fit or the
+     *     zone is unknown
      */
     public static FleetMember fleetMember(GovernorConfig config, long generation, double now) {
         GovernorConfig.PeersConfig peers = config.peers();
         if (peers.others().isEmpty()) {
             return null;
         }
-        int governorCount = peers.others().size() + 1;
-        Set<Integer> numbers = new TreeSet<>(Set.of(peers.number()));
-        peers.others().forEach(peer -> numbers.add(peer.number()));
-        for (int i = 0; i < governorCount; i++) {
-            if (!numbers.contains(i)) {
-                throw new IllegalArgumentException(
-                        "peers: "
-                                + governorCount
-                                + " governors with the numbers "
-                                + numbers
-                                + "; expected each from 0 to "
-                                + (governorCount - 1)
-                                + " once");
-            }
-        }
-        int zone =
-                peers.zone() == null
-                        ? -1
-                        : indexesOf(List.of(peers.zone()), config.zones(), "peers.zone")
-                                .nextSetBit(0);
+        Set<Integer> numbers = governorNumbers(peers);
+        int zone = zoneOf(peers, config.zones());
         Leases leases =
                 new Leases(
                         peers.number(),
                         generation,
-                        governorCount,
+                        numbers.size(),
                         peers.lease(),
                         MAX_CLOCK_DRIFT,
                         peers.lease() * (1 + MAX_CLOCK_DRIFT),
                         now);
-        return new FleetMember(
+        FailureDetector failureDetector =
                 new FailureDetector(
                         peers.number(),
                         generation,
                         numbers,
                         peers.lease() / HEARTBEATS_PER_LEASE,
                         peers.lease() / SUSPICION_TIMEOUTS_PER_LEASE,
-                        peers.lease() / SUSPICION_TIMEOUTS_PER_LEASE),
-                leases,
-                new ProxyQuota(peers.number(), leases, peers.room(), zone, now),
+                        peers.lease() / SUSPICION_TIMEOUTS_PER_LEASE);
+        EvidenceExchange evidenceExchange =
                 new EvidenceExchange(
                         peers.number(),
                         generation,
                         config.reports().every(),
-                        1.5 * config.reports().every(),
+                        CATCH_UP_REPORT_INTERVALS * config.reports().every(),
                         peers.hints(),
-                        now));
+                        now);
+        return new FleetMember(
+                failureDetector,
+                leases,
+                new ProxyQuota(peers.number(), leases, peers.room(), zone, now),
+                evidenceExchange);
+    }
+
+    /** The numbers of all governors, which must be those from 0 on, each once. */
+    private static Set<Integer> governorNumbers(GovernorConfig.PeersConfig peers) {
+        int governorCount = peers.others().size() + 1;
+        Set<Integer> numbers = new TreeSet<>(Set.of(peers.number()));
+        peers.others().forEach(peer -> numbers.add(peer.number()));
+        for (int number = 0; number < governorCount; number++) {
+            if (!numbers.contains(number)) {
+                throw new IllegalArgumentException(
+                        "peers: "
+                                + governorCount
+                                + " governors with the numbers "
+                                + numbers
+                                + "; expected each from 0 to "
+                                + (governorCount - 1)
+                                + " once");
+            }
+        }
+        return numbers;
     }
 
-    private static final double MAX_CLOCK_DRIFT = 0.02; // of two clocks' paces, at the most
-    private static final double HEARTBEATS_PER_LEASE = 15; // within a lease
-    private static final double SUSPICION_TIMEOUTS_PER_LEASE =
-            3; // within a lease, until one is suspected, and dead
+    private static int zoneOf(GovernorConfig.PeersConfig peers, List<String> zones) {
+        return peers.zone() == null
+                ? NO_ZONE
+                : indexesOf(List.of(peers.zone()), zones, "peers.zone").nextSetBit(0);
+    }
 
-    static BitSet indexesOf(List<String> names, List<String> knownNames, String field) {
+    private static BitSet indexesOf(List<String> names, List<String> knownNames, String field) {
         BitSet indexes = new BitSet();
         for (String name : names) {
             if (!knownNames.contains(name)) {
--- a/src/main/java/sprucelanding/config/governor/package-info.java
+++ b/src/main/java/sprucelanding/config/governor/package-info.java
@@ -1,2 +1,6 @@
-/** What a governor is told at its start, checked, and the parts without sockets that come of it. */
+/**
+ * Keeps a governor's configuration, checked against its schema, and creates from it the parts that
+ * need no sockets: controller, core and fleet membership. The service, captures and the emulator
+ * share them.
+ */
 package sprucelanding.config.governor;
--- a/src/test/java/sprucelanding/config/configstream/ConfigVersionsTest.java
+++ b/src/test/java/sprucelanding/config/configstream/ConfigVersionsTest.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Stories of configurations that stream in, good and bad. */
+/** What becomes of valid and invalid configuration versions that stream in. */
 class ConfigVersionsTest implements ConfigVersions.Actions {
     private final ConfigVersions.Version initial = new ConfigVersions.Version(1, "a");
     private final ConfigVersions versions =
