--- a/src/main/java/sprucelanding/replay/capture/Capture.java
+++ b/src/main/java/sprucelanding/replay/capture/Capture.java
@@ -79,19 +79,13 @@
     private void readBlock(
             CaptureFormat.Block block, EventDecoder decoder, Consumer<CaptureEvent> consumer) {
         decoder.startBlock(block.content());
-        switch (block.kind()) {
-            case EVENTS -> {
-                while (decoder.hasNext()) {
-                    consumer.accept(decoder.next());
-                }
-            }
-            case GAP -> {
-                gaps.add(readGap(decoder));
-                consumer.accept(null);
-            }
-            default -> {
-                // A header that is not the first block, or a kind of a later version: no events.
-            }
+        if (block.kind() == BlockKind.GAP) {
+            gaps.add(readGap(decoder));
+            consumer.accept(null);
+        }
+        // Neither a header that is not the first block nor an unknown kind holds events.
+        while (block.kind() == BlockKind.EVENTS && decoder.hasNext()) {
+            consumer.accept(decoder.next());
         }
     }
 
--- a/src/main/java/sprucelanding/replay/capture/CaptureWriter.java
+++ b/src/main/java/sprucelanding/replay/capture/CaptureWriter.java
@@ -16,17 +16,10 @@
  * when. Call {@link #append} and {@link #close} from one thread.
  */
 public final class CaptureWriter implements AutoCloseable {
-    private static final int BLOCK_BYTES = 64 * 1024;
-
-    /** How long an event waits in an open block. */
-    private static final double MAX_BLOCK_AGE_MILLIS = 1000;
-
     private static final int MAX_ROTATED_FILES = 999;
     private static final long OFFER_RETRY_MILLIS = 10;
     private static final long CLOSE_TIMEOUT_MILLIS = 5000;
 
-    private record PendingBlock(BlockKind kind, byte[] content) {}
-
     private static final PendingBlock END_OF_CAPTURE =
             new PendingBlock(BlockKind.UNKNOWN, new byte[0]);
 
@@ -36,14 +29,8 @@
     private final Consumer<String> faultListener;
     private final Thread thread;
 
-    // The caller's thread alone uses these.
-    private final EventEncoder encoder = new EventEncoder();
-    private int eventsInBlock;
-    private double blockOpenedAt = Double.NaN; // NaN while the block is empty
-    private double lastEventAt;
-    private int droppedEvents;
-    private double droppedFrom;
-    private double droppedTo;
+    /** Used by the caller's thread alone. */
+    private final BlockAssembler assembler;
 
     /** Set by the writing thread when it ends; from then on events are ignored. */
     private volatile boolean stopped;
@@ -80,6 +67,7 @@
             long maxFileBytes,
             Consumer<String> faultListener) {
         this.queue = new ArrayBlockingQueue<>(maxPendingBlocks);
+        this.assembler = new BlockAssembler(queue, faultListener);
         this.out = out;
         this.maxFileBytes = maxFileBytes;
         this.faultListener = faultListener;
@@ -113,54 +101,9 @@
      * @param fields one value for each of the type's fields, of the field's Java type
      */
     public void append(double at, EventType type, Object... fields) {
-        if (stopped) {
-            return;
-        }
-        if (Double.isNaN(blockOpenedAt)) {
-            blockOpenedAt = at;
-        }
-        encoder.append(type, fields);
-        eventsInBlock++;
-        lastEventAt = at;
-        if (encoder.size() >= BLOCK_BYTES || at - blockOpenedAt >= MAX_BLOCK_AGE_MILLIS) {
-            flush();
-        }
-    }
-
-    private void flush() {
-        if (eventsInBlock == 0) {
-            return;
+        if (!stopped) {
+            assembler.append(at, type, fields);
         }
-        byte[] content = encoder.takeBlock();
-        if (droppedEvents > 0) {
-            offerGap();
-        }
-        boolean queued =
-                droppedEvents == 0 && queue.offer(new PendingBlock(BlockKind.EVENTS, content));
-        if (!queued) {
-            dropBlock();
-        }
-        eventsInBlock = 0;
-        blockOpenedAt = Double.NaN;
-    }
-
-    /** Queues the block that stands for what was dropped, if the next events fit in after it. */
-    private void offerGap() {
-        EventEncoder gap = new EventEncoder();
-        gap.append(EventType.CLOCK, droppedFrom);
-        gap.append(EventType.CLOCK, droppedTo);
-        gap.append(EventType.BELL, droppedEvents);
-        if (queue.remainingCapacity() >= 2
-                && queue.offer(new PendingBlock(BlockKind.GAP, gap.takeBlock()))) {
-            faultListener.accept("a capture dropped " + droppedEvents + " events");
-            droppedEvents = 0;
-        }
-    }
-
-    private void dropBlock() {
-        droppedFrom = droppedEvents == 0 ? blockOpenedAt : droppedFrom;
-        droppedTo = lastEventAt;
-        droppedEvents += eventsInBlock;
     }
 
     private void writeBlocks(String configText) {
@@ -183,7 +126,8 @@
         long writtenBytes = CaptureFormat.writeBlock(output, BlockKind.HEADER, number++, header);
         output.flush();
         for (PendingBlock block = queue.take(); block != END_OF_CAPTURE; block = queue.take()) {
-            writtenBytes += CaptureFormat.writeBlock(output, block.kind, number++, block.content);
+            writtenBytes +=
+                    CaptureFormat.writeBlock(output, block.kind(), number++, block.content());
             output.flush();
             if (writtenBytes > maxFileBytes) {
                 faultListener.accept("a capture ends: it has " + writtenBytes + " bytes");
@@ -195,7 +139,7 @@
     /** Writes what is pending and ends the capture; waits five seconds at most for the disk. */
     @Override
     public void close() {
-        flush();
+        assembler.flush();
         try {
             boolean endQueued = false;
             while (!stopped && !endQueued) {
--- a/src/test/java/sprucelanding/replay/capture/CaptureTest.java
+++ b/src/test/java/sprucelanding/replay/capture/CaptureTest.java
@@ -7,7 +7,6 @@
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.OutputStream;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,7 +15,6 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.CopyOnWriteArrayList;
-import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import sprucelanding.control.core.ControllerInput;
@@ -28,7 +26,7 @@
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
 
-/** Stories of captures: what they hold, how they break, and what is decided again from them. */
+/** What captures hold, how they are read when damaged, and what is decided again from them. */
 @Timeout(30)
 class CaptureTest {
     private static final ControllerOutput DISCARDING_OUTPUT =
@@ -53,41 +51,21 @@
         return new DirectInput(controller);
     }
 
-    /** Forty seconds of a small fleet: replicas come, are met, fall silent and leave. */
+    /** Forty seconds of a small fleet: endpoints are listed, reported, fail and leave the list. */
     private static void playFortySeconds(ControllerInput controller) {
         SplittableRandom random = new SplittableRandom(5);
         controller.setTime(1000.125);
-        controller.endpointListStarted(true, true);
-        for (int endpointId = 1; endpointId <= 12; endpointId++) {
-            controller.endpointListed(endpointId, endpointId % 2, 0, 1, 0, EndpointState.AVAILABLE);
-        }
-        controller.endpointListCompleted();
-        for (int proxyId = 0; proxyId < 6; proxyId++) {
-            controller.proxyJoined(proxyId, proxyId % 2, 10, proxyId > 3);
-        }
+        startFleet(controller);
         for (int tick = 0; tick < 400; tick++) {
             double now = 1000 + tick * 100 + random.nextDouble();
             controller.setTime(now);
             if (tick % 5 == 0) {
-                for (int endpointId = 1; endpointId <= 12; endpointId++) {
-                    controller.endpointStatsReported(
-                            endpointId,
-                            20,
-                            tick > 100 && endpointId == 3 ? 18 : 0,
-                            50 + endpointId,
-                            random.nextDouble());
-                }
-                controller.demandReported(tick % 6, 0, 11, 500);
+                reportLoad(controller, tick, random);
             }
             if (tick == 200) {
-                controller.endpointListStarted(false, false);
-                for (int endpointId = 4; endpointId <= 9; endpointId++) {
-                    controller.endpointListed(
-                            endpointId, endpointId % 2, 0, 1, 0, EndpointState.GONE);
-                }
-                controller.endpointListCompleted();
+                removeSixEndpoints(controller);
             }
-            if (tick == 230) { // all that left is withdrawn again, for these
+            if (tick == 230) { // endpoints that left are ejected again, for these
                 controller.proxyJoined(20, 0, 10, false);
                 controller.proxyJoined(21, 1, 10, false);
             }
@@ -98,6 +76,37 @@
         }
     }
 
+    private static void startFleet(ControllerInput controller) {
+        controller.endpointListStarted(true, true);
+        for (int endpointId = 1; endpointId <= 12; endpointId++) {
+            controller.endpointListed(endpointId, endpointId % 2, 0, 1, 0, EndpointState.AVAILABLE);
+        }
+        controller.endpointListCompleted();
+        for (int proxyId = 0; proxyId < 6; proxyId++) {
+            controller.proxyJoined(proxyId, proxyId % 2, 10, proxyId > 3);
+        }
+    }
+
+    private static void reportLoad(ControllerInput controller, int tick, SplittableRandom random) {
+        for (int endpointId = 1; endpointId <= 12; endpointId++) {
+            controller.endpointStatsReported(
+                    endpointId,
+                    20,
+                    tick > 100 && endpointId == 3 ? 18 : 0,
+                    50 + endpointId,
+                    random.nextDouble());
+        }
+        controller.demandReported(tick % 6, 0, 11, 500);
+    }
+
+    private static void removeSixEndpoints(ControllerInput controller) {
+        controller.endpointListStarted(false, false);
+        for (int endpointId = 4; endpointId <= 9; endpointId++) {
+            controller.endpointListed(endpointId, endpointId % 2, 0, 1, 0, EndpointState.GONE);
+        }
+        controller.endpointListCompleted();
+    }
+
     private static byte[] captured(List<String> faults) {
         ByteArrayOutputStream file = new ByteArrayOutputStream();
         try (CaptureWriter writer =
@@ -162,10 +171,9 @@
             Capture capture;
             try {
                 capture = Capture.read(truncated);
-            } catch (IOException event) {
-                assertEquals(
-                        0, mostEventsRead, "readable before, not any more: " + event.getMessage());
-                assertTrue(event.getMessage().startsWith("offset "), event.getMessage());
+            } catch (IOException e) {
+                assertEquals(0, mostEventsRead, "readable before, not any more: " + e.getMessage());
+                assertTrue(e.getMessage().startsWith("offset "), e.getMessage());
                 continue;
             }
             List<CaptureEvent> eventsRead = events(capture);
@@ -179,7 +187,7 @@
     @Test
     void corruptBlockEndsTheCaptureWithOffsetAndReason() throws IOException {
         byte[] file = captured(new ArrayList<>());
-        int first = 10; // past the file's head
+        int first = 10; // past the file's header
         int second = first + 17 + ByteBuffer.wrap(file).getInt(first + 9);
         int third = second + 17 + ByteBuffer.wrap(file).getInt(second + 9);
         byte[] flipped = file.clone();
@@ -212,40 +220,18 @@
 
     @Test
     void slowDiskDropsWholeBlocksAndNeverDelaysAnOrder() throws Exception {
-        CountDownLatch diskReady = new CountDownLatch(1);
-        ByteArrayOutputStream file = new ByteArrayOutputStream();
-        OutputStream slow =
-                new OutputStream() {
-                    private int writes;
-
-                    @Override
-                    public void write(int b) {
-                        throw new AssertionError("byte by byte");
-                    }
-
-                    @Override
-                    public void write(byte[] bytes) throws IOException {
-                        if (writes++ == 4) {
-                            try {
-                                diskReady.await();
-                            } catch (InterruptedException event) {
-                                throw new IOException(event);
-                            }
-                        }
-                        file.write(bytes);
-                    }
-                };
+        StallingOutputStream disk = new StallingOutputStream(4);
         List<String> faults = new CopyOnWriteArrayList<>();
-        CaptureWriter writer = new CaptureWriter(slow, "x", 4, 1 << 30, faults::add);
+        CaptureWriter writer = new CaptureWriter(disk, "x", 4, 1 << 30, faults::add);
         RecordingInput recorder = new RecordingInput(controller(1), writer::append);
-        playFortySeconds(recorder); // it would never end if a put waited
-        diskReady.countDown();
+        playFortySeconds(recorder); // it would never end if append waited
+        disk.resume();
         for (int n = 0; faults.isEmpty(); n++) {
             recorder.setTime(50_000 + n * 1001);
             Thread.sleep(1);
         }
         writer.close();
-        Capture capture = Capture.read(file.toByteArray());
+        Capture capture = Capture.read(disk.toByteArray());
         DecisionReplay replay = new DecisionReplay(controller(1));
         capture.forEachEvent(replay::onEvent);
         assertEquals(1, capture.gaps().size());
--- a/src/test/java/sprucelanding/replay/capture/RecordedCaptureTest.java
+++ b/src/test/java/sprucelanding/replay/capture/RecordedCaptureTest.java
@@ -3,15 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.OutputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.CountDownLatch;
-import java.util.concurrent.Semaphore;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -24,46 +20,46 @@
  */
 @Timeout(30)
 class RecordedCaptureTest {
-    private static final String STATION = "zones: [\"north\", \"süd\"]\n";
-    private static final int QUEUED_BLOCKS = 64;
-    private static final long LARGEST_FILE = 1 << 20;
-    private static final double LONGEST_BLOCK = 1000;
+    private static final String CONFIG_TEXT = "zones: [\"north\", \"süd\"]\n";
+    private static final int MAX_PENDING_BLOCKS = 64;
+    private static final long MAX_FILE_BYTES = 1 << 20;
+    private static final double MAX_BLOCK_AGE_MILLIS = 1000;
 
     /** Fields of one event of each kind, in the order of the kinds' numbers in the file. */
     private static final Object[][] FIELDS = {
         {1000.125}, // clock
-        {7}, // timer rang
-        {true, false}, // list begins
+        {7}, // timer fired
+        {true, false}, // list started
         {4294967295L, 1, 2, 0.75, 1.7e12, 1}, // listed
-        {}, // list ends
+        {}, // list completed
         {}, // list failed
-        {3L, 2, 0.5}, // probe answered
-        {4L, 20, 3, 51.25, 0.875}, // report of tries
-        {-12}, // acknowledged
-        {5, 1, 300, 500.0}, // transactions that came
+        {3L, 2, 0.5}, // health check completed
+        {4L, 20, 3, 51.25, 0.875}, // endpoint statistics
+        {-12}, // acknowledgement arrived
+        {5, 1, 300, 500.0}, // demand
         {6, 1, 10.5, true}, // proxy joined
         {6}, // proxy left
         {true}, // decided
-        {2, 9L, 1000.0}, // line of a table
+        {2, 9L, 1000.0}, // weight of a table's entry
         {2}, // table cleared
-        {9L, true}, // withdrawn
-        {2, 1, 0.8125, 2}, // share let in
-        {2, 6, "{0, 3}"}, // products bound
-        {-13}, // receipt
-        {10L}, // probe sent
+        {9L, true}, // ejected
+        {2, 1, 0.8125, 2}, // admitted share
+        {2, 6, "{0, 3}"}, // proxy bound
+        {-13}, // acknowledgement requested
+        {10L}, // health check started
         {"\u0000\u0001ÿ"}, // note to peers
         {}, // list watched
         {3, 2000.5}, // timer set
         {"event=drain_status overdue=0"}, // logged
         {2001.0, 9L, "127.0.0.1:8080"}, // address
         {2001.25, 6, 500.0}, // report
-        {9L, 100L, 90L, 1L, 4500.5, 8.25, 11L}, // report: replica
+        {9L, 100L, 90L, 1L, 4500.5, 8.25, 11L}, // report: endpoint
         {1, 77L}, // report: count
-        {2002.0, 6, 1L << 40, "LINE", 3}, // message sent
-        {2002.5, 6, 1L << 40, "refused: é"}, // message answered
-        {2003.0, 1, Long.MAX_VALUE, 60.0, 6}, // transaction
-        {2004.0, 1, Long.MIN_VALUE, 3, 1.0E-300}, // transaction ended
-        {2004.5, 9L, 1, 6, 2}, // try began
+        {2002.0, 6, 1L << 40, "LINE", 3}, // update sent
+        {2002.5, 6, 1L << 40, "refused: é"}, // update answered
+        {2003.0, 1, Long.MAX_VALUE, 60.0, 6}, // request
+        {2004.0, 1, Long.MIN_VALUE, 3, 1.0E-300}, // request ended
+        {2004.5, 9L, 1, 6, 2}, // attempt began
         {2005.0, 6, "proxy-ä"} // name of a proxy
     };
 
@@ -73,10 +69,11 @@
     void everyKindOfEventIsWrittenAsRecorded() throws IOException {
         Path file = folder.resolve("kinds.cap");
         List<String> faults = new ArrayList<>();
-        try (CaptureWriter log =
-                new CaptureWriter(file, STATION, QUEUED_BLOCKS, LARGEST_FILE, faults::add)) {
+        try (CaptureWriter writer =
+                new CaptureWriter(
+                        file, CONFIG_TEXT, MAX_PENDING_BLOCKS, MAX_FILE_BYTES, faults::add)) {
             for (int kind = 0; kind < FIELDS.length; kind++) {
-                log.append(100.0 * kind, EventType.values()[kind], FIELDS[kind]);
+                writer.append(100.0 * kind, EventType.values()[kind], FIELDS[kind]);
             }
         }
         assertEquals(List.of(), faults);
@@ -86,102 +83,80 @@
 
     @Test
     void theRecordedEventsAreReadInFull() throws IOException {
-        Capture kept = Capture.read(Recorded.file("capture/kinds.cap"));
-        assertEquals(STATION, kept.configText());
-        assertNull(kept.truncation());
+        Capture capture = Capture.read(Recorded.file("capture/kinds.cap"));
+        assertEquals(CONFIG_TEXT, capture.configText());
+        assertNull(capture.truncation());
         List<CaptureEvent> events = new ArrayList<>();
-        kept.forEachEvent(events::add);
-        assertEquals(List.of(), kept.gaps());
+        capture.forEachEvent(events::add);
+        assertEquals(List.of(), capture.gaps());
         assertEquals(FIELDS.length, events.size());
         for (int kind = 0; kind < FIELDS.length; kind++) {
             assertEquals(List.of(FIELDS[kind]), events.get(kind).fields());
         }
-        Recorded.assertText("capture/kinds.txt", rendered(kept));
+        Recorded.assertText("capture/kinds.txt", rendered(capture));
     }
 
     @Test
     void aCaptureWithDroppedEventsIsWrittenAndReadAsRecorded() throws Exception {
         Recorded.assertBytes("capture/dropped.cap", withDroppedEvents());
-        Capture kept = Capture.read(Recorded.file("capture/dropped.cap"));
-        Recorded.assertText("capture/dropped.txt", rendered(kept));
-        assertEquals(1, kept.gaps().size());
+        Capture capture = Capture.read(Recorded.file("capture/dropped.cap"));
+        Recorded.assertText("capture/dropped.txt", rendered(capture));
+        assertEquals(1, capture.gaps().size());
     }
 
     /** The disk accepts nothing until two blocks wait and two are lost. */
     private static byte[] withDroppedEvents() throws Exception {
-        CountDownLatch disk = new CountDownLatch(1);
-        Semaphore blocksWritten = new Semaphore(0);
-        ByteArrayOutputStream file = new ByteArrayOutputStream();
-        OutputStream slow =
-                new OutputStream() {
-                    @Override
-                    public void write(int b) {
-                        throw new AssertionError("byte by byte");
-                    }
-
-                    @Override
-                    public void write(byte[] bytes) throws IOException {
-                        try {
-                            disk.await();
-                        } catch (InterruptedException e) {
-                            throw new IOException(e);
-                        }
-                        file.write(bytes);
-                    }
-
-                    @Override
-                    public void flush() {
-                        blocksWritten.release();
-                    }
-                };
-        List<String> said = new ArrayList<>();
-        try (CaptureWriter log = new CaptureWriter(slow, STATION, 2, LARGEST_FILE, said::add)) {
+        StallingOutputStream disk = new StallingOutputStream(0);
+        List<String> faults = new ArrayList<>();
+        try (CaptureWriter writer =
+                new CaptureWriter(disk, CONFIG_TEXT, 2, MAX_FILE_BYTES, faults::add)) {
             for (int block = 0; block < 4; block++) {
-                putBlock(log, block);
+                appendBlock(writer, block);
             }
-            disk.countDown();
-            blocksWritten.acquire(3); // the station and the two that waited
-            putBlock(log, 4);
+            disk.resume();
+            disk.awaitFlushes(3); // the header and the two that waited
+            appendBlock(writer, 4);
         }
-        assertEquals(List.of("a capture dropped 4 events"), said);
-        return file.toByteArray();
+        assertEquals(List.of("a capture dropped 4 events"), faults);
+        return disk.toByteArray();
     }
 
     /** Two events, the second so late that the block is closed. */
-    private static void putBlock(CaptureWriter log, int block) {
+    private static void appendBlock(CaptureWriter writer, int block) {
         double at = 10_000.0 * (block + 1);
-        log.append(at, EventType.values()[0], at);
-        log.append(at + LONGEST_BLOCK, EventType.values()[0], at + LONGEST_BLOCK);
+        writer.append(at, EventType.values()[0], at);
+        writer.append(at + MAX_BLOCK_AGE_MILLIS, EventType.values()[0], at + MAX_BLOCK_AGE_MILLIS);
     }
 
-    /** Station, then each event: time, fields to the last bit, and the line that is shown of it. */
-    private static String rendered(Capture kept) throws IOException {
-        StringBuilder text = new StringBuilder(kept.configText());
-        kept.forEachEvent(
-                e -> {
-                    if (e == null) {
+    /**
+     * Configuration, then each event: time, fields to the last bit, and the line that is shown of
+     * it.
+     */
+    private static String rendered(Capture capture) throws IOException {
+        StringBuilder text = new StringBuilder(capture.configText());
+        capture.forEachEvent(
+                event -> {
+                    if (event == null) {
                         text.append("dropped\n");
                         return;
                     }
-                    text.append(e.at()).append(" [");
-                    e.fields()
-                            .forEach(
-                                    f ->
-                                            text.append(f.getClass().getSimpleName())
-                                                    .append(' ')
-                                                    .append(f)
-                                                    .append("; "));
-                    text.append("]\n").append(e.format(0)).append('\n');
+                    text.append(event.at()).append(" [");
+                    event.fields().forEach(field -> text.append(renderedField(field)));
+                    text.append("]\n").append(event.format(0)).append('\n');
                 });
-        kept.gaps()
+        capture.gaps()
                 .forEach(
-                        g ->
-                                text.append(g.events())
+                        gap ->
+                                text.append(gap.events())
                                         .append(" events dropped from ")
-                                        .append(g.from())
+                                        .append(gap.from())
                                         .append(" to ")
-                                        .append(g.to())
+                                        .append(gap.to())
                                         .append('\n'));
         return text.toString();
     }
+
+    private static String renderedField(Object field) {
+        return field.getClass().getSimpleName() + ' ' + field + "; ";
+    }
 }
--- /dev/null
+++ b/src/test/java/sprucelanding/replay/estimate/DemandEstimatorTest.java
@@ -0,0 +1,62 @@
+package sprucelanding.replay.estimate;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class DemandEstimatorTest {
+    private static final int GOVERNOR = 0;
+    private static final int PROXY = 5;
+    private static final ReportHeader REPORT =
+            new ReportHeader(new Reporter(GOVERNOR, PROXY), 3000, 1000);
+
+    private final DemandEstimator demand = new DemandEstimator(new double[] {10, 40});
+
+    @Test
+    void requestsAreSpreadOverTheSpanOfTheirReport() {
+        demand.proxyNamed(REPORT.reporter(), "proxy-0");
+        demand.addDemand(REPORT, 1, 50);
+        demand.addCompleted(REPORT, 50);
+        List<EstimatedRequest> requests = demand.inferRequests();
+        assertEquals(50, requests.size());
+        for (EstimatedRequest request : requests) {
+            assertTrue(request.at() > 2000 && request.at() <= 3000, request.toString());
+            assertEquals(1, request.requestClass());
+            assertEquals(0, request.proxy());
+        }
+    }
+
+    @Test
+    void retriesAreTakenOutWhereRequestsWereNotAnswered() {
+        demand.proxyNamed(REPORT.reporter(), "proxy-0");
+        demand.addDemand(REPORT, 0, 7000);
+        demand.addCompleted(REPORT, 3500);
+        // With half unanswered, 1 in 1 + 0.5 + 0.25 is a first attempt.
+        assertEquals(4000, demand.inferRequests().size(), 200);
+    }
+
+    @Test
+    void proxiesAreOrderedByTheNumberInTheirNames() {
+        Reporter tenth = new Reporter(GOVERNOR, 1);
+        demand.proxyNamed(tenth, "proxy-10");
+        demand.proxyNamed(REPORT.reporter(), "proxy-9");
+        demand.addDemand(new ReportHeader(tenth, 3000, 1000), 0, 1);
+        demand.addCompleted(REPORT, 1);
+        assertEquals(1, demand.inferRequests().get(0).proxy());
+    }
+
+    @Test
+    void proxyWithoutANameIsLeftOut() {
+        demand.addDemand(REPORT, 0, 10);
+        assertEquals(List.of(), demand.inferRequests());
+    }
+
+    @Test
+    void meanWorkIsWeightedByTheDemandOfEachClass() {
+        demand.addDemand(REPORT, 0, 30);
+        demand.addDemand(REPORT, 1, 10);
+        assertEquals(17.5, demand.meanWorkMillis());
+    }
+}
