--- a/src/main/java/sprucelanding/control/distribution/TableDistributor.java
+++ b/src/main/java/sprucelanding/control/distribution/TableDistributor.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -11,88 +10,50 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.Endpoint;
 import sprucelanding.control.decision.Proxy;
 import sprucelanding.control.decision.RequestClass;
 
 /**
- * Tables, levels, withdrawals and bindings as they were ordered, and what of it each joined proxy
- * is still to be sent.
+ * Keeps tables, admission levels, ejections and bindings as they were ordered, and derives from
+ * them what each connected proxy is still to be sent.
+ *
+ * <p>Orders collect until {@link #flush}, which ends their batch. Not synchronized: one thread
+ * calls it.
  */
 public final class TableDistributor {
-    /**
-     * One table as ordered, and this moment's change of it for those on it, by the products they
-     * take from it.
-     */
-    private static final class OrderedTable {
-        final Map<Endpoint, Double> weights = new LinkedHashMap<>();
-        final Map<Integer, TableUpdate.AdmissionLevel> admissionByClass = new TreeMap<>();
-        final Map<ConnectedProxy, BitSet> classesByProxy = new LinkedHashMap<>();
-        final Map<BitSet, TableUpdate> sharedChanges = new HashMap<>();
-    }
-
-    /** A joined proxy: the table it goes by for each product, and this moment's message to it. */
-    private static final class ConnectedProxy {
-        final int proxyId;
-
-        /**
-         * It brought more than it started with, perhaps withdrawals of another governor among it.
-         */
-        final boolean hadPriorTables;
-
-        final OrderedTable[] tableByClass;
-        final Map<OrderedTable, TableUpdate> pendingTables = new LinkedHashMap<>();
-        final Set<Endpoint> ejected = new LinkedHashSet<>();
-        final Set<Endpoint> pendingEjections = new LinkedHashSet<>();
-        final Set<Endpoint> pendingRestores = new LinkedHashSet<>();
-
-        ConnectedProxy(int proxyId, boolean hadPriorTables, int requestClassCount) {
-            this.proxyId = proxyId;
-            this.hadPriorTables = hadPriorTables;
-            this.tableByClass = new OrderedTable[requestClassCount];
-        }
-
-        /** A table that it goes by is not ours, or holds the replica. */
-        boolean mayRouteTo(Endpoint endpoint) {
-            for (OrderedTable table : tableByClass) {
-                if (table == null || table.weights.containsKey(endpoint)) {
-                    return true;
-                }
-            }
-            return false;
-        }
-
-        boolean isUpToDate() {
-            return pendingTables.isEmpty()
-                    && pendingEjections.isEmpty()
-                    && pendingRestores.isEmpty();
-        }
-    }
-
     private final int requestClassCount;
     private final Map<Integer, OrderedTable> tablesById = new HashMap<>();
     private final TreeMap<Integer, ConnectedProxy> proxiesById = new TreeMap<>();
     private final Set<Endpoint> ejectedEndpoints = new LinkedHashSet<>();
     private final Predicate<Endpoint> possiblyEjectedElsewhere;
 
-    /** Whether an endpoint may be given requests; none else enters a table, whoever orders it. */
+    /** Whether an endpoint may be given requests; no other enters a table, whoever orders it. */
     private final Predicate<Endpoint> available;
 
     private long rejectedEntries;
     private int acknowledgementId = ProxyUpdate.NO_ACKNOWLEDGEMENT;
 
-    /** Without a guard against endpoints that left: for hosts that have none to ask. */
+    /**
+     * Creates the bookkeeping for a host that has no endpoint list to ask: every endpoint counts as
+     * available.
+     *
+     * @param requestClassCount how many request classes there are
+     * @param possiblyEjectedElsewhere endpoints that were away from the list at some time, so that
+     *     another governor may have ejected them
+     */
     public TableDistributor(int requestClassCount, Predicate<Endpoint> possiblyEjectedElsewhere) {
         this(requestClassCount, possiblyEjectedElsewhere, endpoint -> true);
     }
 
     /**
-     * Creates the bookkeeping for proxies without tables.
+     * Creates the bookkeeping with no tables and no proxies.
      *
-     * @param products how many request classes there are
-     * @param doubtful endpoints that were away from the list at some time, so that another governor
-     *     may have withdrawn them
-     * @param ready endpoints that may be given requests
+     * @param requestClassCount how many request classes there are
+     * @param possiblyEjectedElsewhere endpoints that were away from the list at some time, so that
+     *     another governor may have ejected them
+     * @param available endpoints that may be given requests
      */
     public TableDistributor(
             int requestClassCount,
@@ -112,231 +73,150 @@
     }
 
     /**
-     * A proxy's stream began; an earlier one of the same proxy is left by that. Bare: it brought no
-     * ordered table.
+     * A proxy's stream began; an earlier stream of the same proxy ends by that.
+     *
+     * @param withoutTables whether the proxy joined without any ordered table
      */
     public void proxyJoined(int proxyId, boolean withoutTables) {
         proxyLeft(proxyId);
         proxiesById.put(proxyId, new ConnectedProxy(proxyId, !withoutTables, requestClassCount));
     }
 
+    /** A proxy's stream ended; nothing happens if it had none. */
     public void proxyLeft(int proxyId) {
         ConnectedProxy departed = proxiesById.remove(proxyId);
         if (departed != null) {
-            for (OrderedTable table : departed.tableByClass) {
-                if (table != null) {
-                    table.classesByProxy.remove(departed);
-                }
-            }
+            departed.unbindAll();
         }
     }
 
-    /** As Orders.line has it. */
+    /** See {@link ControllerOutput#setWeight}; an endpoint that is not available is rejected. */
     public void setWeight(int tableId, Endpoint endpoint, double weight) {
-        OrderedTable orderedTable = tableOf(tableId);
+        OrderedTable table = tableOf(tableId);
         if (weight > 0 && !available.test(endpoint)) {
             rejectedEntries++;
             return;
         }
-        if (weight > 0) {
-            orderedTable.weights.put(endpoint, weight);
-        } else {
-            orderedTable.weights.remove(endpoint);
-        }
-        changesFor(orderedTable, classes -> true)
-                .forEach(update -> update.setWeight(endpoint, weight));
+        table.setWeight(endpoint, weight);
     }
 
-    /** As Orders.level has it. */
+    /** See {@link ControllerOutput#setAdmission}. */
     public void setAdmission(
             int tableId, RequestClass requestClass, double admittedShare, int retryPolicy) {
-        OrderedTable orderedTable = tableOf(tableId);
-        TableUpdate.AdmissionLevel admission =
-                new TableUpdate.AdmissionLevel(admittedShare, retryPolicy);
-        orderedTable.admissionByClass.put(requestClass.index, admission);
-        changesFor(orderedTable, classes -> classes.get(requestClass.index))
-                .forEach(update -> update.admissionByClass.put(requestClass.index, admission));
+        tableOf(tableId)
+                .setAdmission(
+                        requestClass.index,
+                        new TableUpdate.AdmissionLevel(admittedShare, retryPolicy));
     }
 
-    /** As Orders.clear has it: those still on the table hold an empty one. */
+    /** See {@link ControllerOutput#clearTable}; the proxies bound to it hold an empty one. */
     public void clearTable(int tableId) {
-        OrderedTable orderedTable = tablesById.get(tableId);
-        if (orderedTable == null) {
+        OrderedTable table = tablesById.get(tableId);
+        if (table == null) {
             return;
         }
-        orderedTable.weights.clear();
-        orderedTable.admissionByClass.clear();
-        orderedTable.sharedChanges.clear();
-        orderedTable.classesByProxy.forEach(
-                (member, classes) ->
-                        member.pendingTables.put(orderedTable, new TableUpdate(classes, true)));
-        if (orderedTable.classesByProxy.isEmpty()) {
+        table.clear();
+        if (!table.hasBoundProxies()) {
             tablesById.remove(tableId);
         }
     }
 
-    /** As Orders.bind has it; nothing if the proxy has left. */
+    /** See {@link ControllerOutput#bindProxy}; nothing happens if the proxy has left. */
     public void bindProxy(int tableId, Proxy proxy, BitSet classes) {
-        ConnectedProxy member = proxiesById.get(proxy.id);
-        if (member == null) {
+        ConnectedProxy connected = proxiesById.get(proxy.id);
+        if (connected == null) {
             return;
         }
-        OrderedTable orderedTable = tableOf(tableId);
-        BitSet allClasses =
-                (BitSet) orderedTable.classesByProxy.getOrDefault(member, new BitSet()).clone();
-        allClasses.or(classes);
-        for (int classIndex = classes.nextSetBit(0);
-                classIndex >= 0;
-                classIndex = classes.nextSetBit(classIndex + 1)) {
-            OrderedTable previous = member.tableByClass[classIndex];
-            member.tableByClass[classIndex] = orderedTable;
-            if (previous != null && previous != orderedTable) {
-                BitSet remaining = (BitSet) previous.classesByProxy.get(member).clone();
-                remaining.clear(classIndex);
-                member.pendingTables.remove(previous);
-                if (remaining.isEmpty()) {
-                    previous.classesByProxy.remove(member);
-                } else {
-                    previous.classesByProxy.put(member, remaining);
-                    sendWholeTable(previous, member, remaining);
-                }
+        OrderedTable table = tableOf(tableId);
+        connected.bind(table, classes);
+        for (Endpoint endpoint : table.endpoints()) {
+            // those that are not available were left out of the table that is sent
+            if (available.test(endpoint)) {
+                alignEjection(connected, endpoint);
             }
         }
-        orderedTable.classesByProxy.put(member, allClasses);
-        sendWholeTable(orderedTable, member, allClasses);
-        for (Endpoint endpoint : orderedTable.weights.keySet()) {
-            if (!available.test(endpoint)) {
-                continue; // its line was not laid
-            }
-            if (ejectedEndpoints.contains(endpoint)) {
-                eject(member, endpoint);
-            } else if (member.hadPriorTables && possiblyEjectedElsewhere.test(endpoint)) {
-                restore(member, endpoint);
-            }
+    }
+
+    /** Has a proxy sent whether an endpoint of its new table is ejected. */
+    private void alignEjection(ConnectedProxy connected, Endpoint endpoint) {
+        if (ejectedEndpoints.contains(endpoint)) {
+            connected.eject(endpoint);
+        } else if (connected.hadPriorTables() && possiblyEjectedElsewhere.test(endpoint)) {
+            connected.restore(endpoint);
         }
     }
 
-    /** As Orders.withdraw has it. */
+    /** See {@link ControllerOutput#setEjected}. */
     public void setEjected(Endpoint endpoint, boolean ejected) {
         if (ejected) {
-            ejectedEndpoints.add(endpoint);
+            eject(endpoint);
         } else {
-            ejectedEndpoints.remove(endpoint);
+            restore(endpoint);
         }
-        for (ConnectedProxy member : proxiesById.values()) {
-            if (ejected && member.mayRouteTo(endpoint)) {
-                eject(member, endpoint);
-            } else if (!ejected && (member.hadPriorTables || member.ejected.contains(endpoint))) {
-                restore(member, endpoint);
+    }
+
+    private void eject(Endpoint endpoint) {
+        ejectedEndpoints.add(endpoint);
+        for (ConnectedProxy connected : proxiesById.values()) {
+            if (connected.mayRouteTo(endpoint)) {
+                connected.eject(endpoint);
+            }
+        }
+    }
+
+    private void restore(Endpoint endpoint) {
+        ejectedEndpoints.remove(endpoint);
+        for (ConnectedProxy connected : proxiesById.values()) {
+            if (connected.mayHoldEjectionOf(endpoint)) {
+                connected.restore(endpoint);
             }
         }
     }
 
-    /** Whether a table that was ordered has a line of that replica. */
+    /** Whether an ordered table has an entry of the endpoint. */
     public boolean hasEntryFor(long endpointId) {
-        return tablesById.values().stream()
-                .anyMatch(
-                        table ->
-                                table.weights.keySet().stream()
-                                        .anyMatch(endpoint -> endpoint.id == endpointId));
+        for (OrderedTable table : tablesById.values()) {
+            for (Endpoint endpoint : table.endpoints()) {
+                if (endpoint.id == endpointId) {
+                    return true;
+                }
+            }
+        }
+        return false;
     }
 
-    /** No list and no order will name these again. */
+    /** Drops what is kept of endpoints that no list and no order will name again. */
     public void forget(Predicate<Endpoint> removed) {
         ejectedEndpoints.removeIf(removed);
-        proxiesById.values().forEach(member -> member.ejected.removeIf(removed));
-        tablesById.values().forEach(table -> table.weights.keySet().removeIf(removed));
+        proxiesById.values().forEach(connected -> connected.forget(removed));
+        tablesById.values().forEach(table -> table.forget(removed));
     }
 
-    /** As Orders.receipt has it, for the messages of this moment. */
+    /** See {@link ControllerOutput#requestAcknowledgement}, for the messages of this batch. */
     public void requestAcknowledgement(int requestedId) {
         acknowledgementId = requestedId;
     }
 
     /**
-     * Ends the moment: one update for each joined proxy that is concerned, in the order of their
-     * numbers.
+     * Ends the batch.
+     *
+     * @param sink is given one update for each connected proxy that there is something to send to,
+     *     in the order of the proxies' numbers
      */
     public void flush(Consumer<ProxyUpdate> sink) {
         List<ProxyUpdate> updates = new ArrayList<>();
-        for (ConnectedProxy member : proxiesById.values()) {
-            if (!member.isUpToDate()) {
-                updates.add(
-                        new ProxyUpdate(
-                                member.proxyId,
-                                List.copyOf(member.pendingTables.values()),
-                                List.copyOf(member.pendingEjections),
-                                List.copyOf(member.pendingRestores),
-                                acknowledgementId));
-                member.pendingTables.clear();
-                member.pendingEjections.clear();
-                member.pendingRestores.clear();
+        for (ConnectedProxy connected : proxiesById.values()) {
+            if (!connected.isUpToDate()) {
+                updates.add(connected.takeUpdate(acknowledgementId));
             }
         }
-        tablesById.values().forEach(table -> table.sharedChanges.clear());
+        tablesById.values().forEach(OrderedTable::endBatch);
         acknowledgementId = ProxyUpdate.NO_ACKNOWLEDGEMENT;
+        // only now: the sink may report events that lead to new orders
         updates.forEach(sink);
     }
 
     private OrderedTable tableOf(int tableId) {
-        return tablesById.computeIfAbsent(tableId, id -> new OrderedTable());
-    }
-
-    /**
-     * This moment's parts for those on the table who take such products from it, each once: shared
-     * changes, whole tables.
-     */
-    private static Set<TableUpdate> changesFor(OrderedTable table, Predicate<BitSet> affects) {
-        Set<TableUpdate> updates = new LinkedHashSet<>();
-        table.classesByProxy.forEach(
-                (member, classes) -> {
-                    if (affects.test(classes)) {
-                        updates.add(
-                                member.pendingTables.computeIfAbsent(
-                                        table,
-                                        orderedTable ->
-                                                table.sharedChanges.computeIfAbsent(
-                                                        classes,
-                                                        sharedClasses ->
-                                                                new TableUpdate(
-                                                                        sharedClasses, false))));
-                    }
-                });
-        return updates;
-    }
-
-    /**
-     * The whole table as it stands, but for endpoints that left and whose removal from it is not
-     * ordered yet.
-     */
-    private void sendWholeTable(OrderedTable table, ConnectedProxy member, BitSet classes) {
-        TableUpdate update = new TableUpdate(classes, true);
-        table.weights.forEach(
-                (endpoint, weight) -> {
-                    if (available.test(endpoint)) {
-                        update.weights.put(endpoint, weight);
-                    }
-                });
-        table.admissionByClass.forEach(
-                (classIndex, admission) -> {
-                    if (classes.get(classIndex)) {
-                        update.admissionByClass.put(classIndex, admission);
-                    }
-                });
-        member.pendingTables.put(table, update);
-    }
-
-    private static void eject(ConnectedProxy member, Endpoint endpoint) {
-        if (member.ejected.add(endpoint)
-                && (!member.pendingRestores.remove(endpoint) || member.hadPriorTables)) {
-            member.pendingEjections.add(endpoint);
-        }
-    }
-
-    private static void restore(ConnectedProxy member, Endpoint endpoint) {
-        member.ejected.remove(endpoint);
-        if (!member.pendingEjections.remove(endpoint) || member.hadPriorTables) {
-            member.pendingRestores.add(endpoint);
-        }
+        return tablesById.computeIfAbsent(tableId, id -> new OrderedTable(available));
     }
 }
--- a/src/main/java/sprucelanding/control/distribution/TableUpdate.java
+++ b/src/main/java/sprucelanding/control/distribution/TableUpdate.java
@@ -4,32 +4,51 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
+import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.Endpoint;
 
 /**
- * A part of an update: one table's lines and levels, the whole of it or what changed. Proxies on
- * one table share it.
+ * One table's weights and admission levels within an update, the whole table or its changes.
+ *
+ * <p>Proxies that use a table for the same request classes share one object of its changes.
  */
 public final class TableUpdate {
-    /** How much of a product is let in, and when it is tried again. */
+    /**
+     * How much of a request class proxies admit, and when they retry.
+     *
+     * @param admittedShare a share of the requests, or a rate a second, by the site's mode
+     * @param retryPolicy one of the constants of {@link ControllerOutput}
+     */
     public record AdmissionLevel(double admittedShare, int retryPolicy) {}
 
-    /** The products it is for, by their positions. */
+    /** The request classes that use the table, by position. */
     public final BitSet requestClasses;
 
-    /** It lays the table anew; what was held of it is forgotten. */
+    /** Whether this is the whole table: the proxy drops what it held of it before. */
     public final boolean full;
 
-    /** Weights; 0 removes a line. */
+    /** Weights by endpoint, in the order in which they came up; 0 removes an entry. */
     public final Map<Endpoint, Double> weights = new LinkedHashMap<>();
 
+    /** Admission levels by the position of their request class. */
     public final Map<Integer, AdmissionLevel> admissionByClass = new TreeMap<>();
 
-    TableUpdate(BitSet requestClasses, boolean full) {
+    private TableUpdate(BitSet requestClasses, boolean full) {
         this.requestClasses = requestClasses;
         this.full = full;
     }
 
+    /** Starts the update that replaces a table. */
+    static TableUpdate wholeTable(BitSet requestClasses) {
+        return new TableUpdate(requestClasses, true);
+    }
+
+    /** Starts the update that holds changes of a table only. */
+    static TableUpdate changes(BitSet requestClasses) {
+        return new TableUpdate(requestClasses, false);
+    }
+
+    /** Sets a weight; 0 leaves an entry out of a whole table, and removes it by a change. */
     void setWeight(Endpoint endpoint, double weight) {
         if (full && weight <= 0) {
             weights.remove(endpoint);
@@ -38,7 +57,12 @@
         }
     }
 
-    int cost() {
+    void setAdmission(int classIndex, AdmissionLevel admission) {
+        admissionByClass.put(classIndex, admission);
+    }
+
+    /** Lines that this costs in the channel. */
+    int lineCost() {
         return (full ? 1 : 0) + weights.size() + admissionByClass.size();
     }
 }
--- a/src/test/java/sprucelanding/control/distribution/DistributorHarness.java
+++ b/src/test/java/sprucelanding/control/distribution/DistributorHarness.java
@@ -17,8 +17,9 @@
 import sprucelanding.control.decision.RoutingController;
 
 /**
- * A tiny host: a module whose orders go to Keeps, and proxies that apply the updates. Beside them
- * it counts the lines of each message as the simulator's channel does, straight from the orders.
+ * A host with a controller whose orders go to a {@link TableDistributor}, and proxies that apply
+ * the updates. It also counts the lines of each message from the orders, as the simulator's channel
+ * does.
  */
 final class DistributorHarness implements ControllerOutput {
     static final RequestClass READ = requestClass(0);
@@ -36,21 +37,21 @@
     final Map<Long, Endpoint> endpoints = new TreeMap<>();
     final Map<Integer, Proxy> proxies = new TreeMap<>();
 
-    /**
-     * What each proxy goes by, from the updates alone: by product, weights by replica; and its
-     * levels.
-     */
+    /** What each proxy holds by its updates alone: by request class, weights by endpoint. */
     final Map<Integer, List<Map<Long, Double>>> heldWeights = new TreeMap<>();
 
+    /** What each proxy holds by its updates alone: by request class, its admission. */
     final Map<Integer, Map<Integer, TableUpdate.AdmissionLevel>> heldAdmission = new TreeMap<>();
 
-    /** The last moment's updates by proxy. */
+    /** The last batch's updates by proxy. */
     final Map<Integer, ProxyUpdate> updates = new TreeMap<>();
 
-    /** The last moment's lines by proxy, as the channel counts them. */
+    /** The last batch's lines by proxy, as the channel counts them. */
     final Map<Integer, Integer> countedLines = new TreeMap<>();
 
+    /** Tables as ordered: weights by endpoint. */
     final Map<Integer, Map<Long, Double>> tables = new HashMap<>();
+
     final Map<Integer, Map<Integer, TableUpdate.AdmissionLevel>> tableAdmission = new HashMap<>();
     final Map<Integer, Integer> tableByProxy = new TreeMap<>();
     final List<Integer> dueTimers = new ArrayList<>();
@@ -99,7 +100,7 @@
         controller.endpointListCompleted();
     }
 
-    /** Decides, and lets the proxies apply what comes of it. */
+    /** Has the controller decide, and the proxies apply the updates. */
     void decideAndFlush() {
         countedLines.clear();
         while (controller.decide(this)) {
@@ -163,11 +164,11 @@
     @Override
     public void setWeight(int table, Endpoint endpoint, double weight) {
         endpoints.put(endpoint.id, endpoint);
-        Map<Long, Double> lines = tables.computeIfAbsent(table, key -> new TreeMap<>());
+        Map<Long, Double> weights = tables.computeIfAbsent(table, key -> new TreeMap<>());
         if (weight > 0) {
-            lines.put(endpoint.id, weight);
+            weights.put(endpoint.id, weight);
         } else {
-            lines.remove(endpoint.id);
+            weights.remove(endpoint.id);
         }
         countLines(table);
         distributor.setWeight(table, endpoint, weight);
@@ -241,6 +242,6 @@
 
     @Override
     public void log(DecisionEvent event) {
-        // nobody reads it
+        // no test reads it
     }
 }
--- a/src/test/java/sprucelanding/control/distribution/TableDistributorTest.java
+++ b/src/test/java/sprucelanding/control/distribution/TableDistributorTest.java
@@ -35,7 +35,7 @@
                 new TableDistributor(2, endpoint -> false, endpoint -> endpoint.isAvailable());
         harness.endpoints.values().forEach(endpoint -> distributor.setWeight(0, endpoint, 1));
         distributor.proxyJoined(1, true);
-        harness.changeState(4, EndpointState.DRAINING); // its line is still to be removed
+        harness.changeState(4, EndpointState.DRAINING); // its entry is still to be removed
         distributor.bindProxy(0, harness.proxies.get(1), ALL_CLASSES);
         distributor.setWeight(0, harness.endpoints.get(4L), 3);
         distributor.flush(
@@ -122,7 +122,7 @@
         assertEquals(Set.of(1, 2, 3), harness.updates.keySet());
         harness.distributor.setEjected(harness.endpoints.get(4L), true);
         harness.flush();
-        assertTrue(harness.updates.isEmpty(), "all have it on this stream");
+        assertTrue(harness.updates.isEmpty(), "all were sent it on this stream");
         harness.distributor.setEjected(harness.endpoints.get(4L), false);
         harness.flush();
         assertEquals(List.of(harness.endpoints.get(4L)), harness.updates.get(1).restored());
@@ -149,11 +149,13 @@
         assertEquals(
                 List.of(harness.endpoints.get(10L)),
                 harness.updates.get(1).restored(),
-                "only what was ever away");
+                "only endpoints that were away");
         harness.distributor.proxyJoined(1, true);
         harness.distributor.bindProxy(0, harness.proxies.get(1), ALL_CLASSES);
         harness.flush();
-        assertTrue(harness.updates.get(1).restored().isEmpty(), "a bare one shuns nothing");
+        assertTrue(
+                harness.updates.get(1).restored().isEmpty(),
+                "one without tables holds no ejection");
     }
 
     @Test
@@ -171,7 +173,7 @@
         assertEquals(
                 ProxyUpdate.NO_ACKNOWLEDGEMENT,
                 harness.updates.get(1).acknowledgementId(),
-                "a number serves one moment");
+                "an id serves one batch");
     }
 
     @Test
@@ -185,8 +187,8 @@
     }
 
     /**
-     * Minutes of change: what proxies come to hold is what was ordered, and no message costs more
-     * than the channel counts.
+     * Over minutes of random change, proxies hold what was ordered, and no message costs more than
+     * the channel counts.
      */
     @Test
     void proxiesHoldOrderedTablesAtTheCountedChannelCost() {
@@ -200,41 +202,50 @@
                 harness.changeState(nextEndpointId++, EndpointState.AVAILABLE);
             }
             if (random.nextInt(4) == 0) {
-                int proxy = 1 + random.nextInt(6);
-                if (harness.heldWeights.containsKey(proxy)) {
-                    harness.leave(proxy);
-                } else {
-                    harness.join(proxy, random.nextBoolean());
-                }
+                joinOrLeave(harness, 1 + random.nextInt(6), random);
             }
             for (Map.Entry<Long, ?> entry : harness.endpoints.entrySet()) {
                 harness.controller.endpointStatsReported(
                         entry.getKey(), 10 + random.nextInt(30), 0, 50, random.nextDouble());
             }
             harness.advanceOneSecond();
-            for (ProxyUpdate update : harness.updates.values()) {
-                assertTrue(
-                        update.lineCost()
-                                <= harness.countedLines.get(update.proxyId())
-                                        + update.restored().size(),
-                        "second " + second);
-                exactCount +=
-                        update.lineCost() == harness.countedLines.get(update.proxyId()) ? 1 : 0;
-            }
-            harness.tableByProxy.forEach(
-                    (proxy, table) -> {
-                        assertEquals(
-                                harness.tables.get(table), harness.heldWeights.get(proxy).get(0));
-                        assertEquals(
-                                harness.tables.get(table), harness.heldWeights.get(proxy).get(1));
-                        assertEquals(
-                                harness.tableAdmission.get(table),
-                                harness.heldAdmission.get(proxy));
-                    });
+            exactCount += assertCostIsCounted(harness, "second " + second);
+            assertProxiesHoldTheirTables(harness);
         }
         assertTrue(exactCount > 100, "nearly all cost just that: " + exactCount);
     }
 
+    private static void joinOrLeave(
+            DistributorHarness harness, int proxyId, SplittableRandom random) {
+        if (harness.heldWeights.containsKey(proxyId)) {
+            harness.leave(proxyId);
+        } else {
+            harness.join(proxyId, random.nextBoolean());
+        }
+    }
+
+    /** Returns how many of the last batch's updates cost exactly what the channel counts. */
+    private static int assertCostIsCounted(DistributorHarness harness, String message) {
+        int exactCount = 0;
+        for (ProxyUpdate update : harness.updates.values()) {
+            int counted = harness.countedLines.get(update.proxyId());
+            assertTrue(update.lineCost() <= counted + update.restored().size(), message);
+            exactCount += update.lineCost() == counted ? 1 : 0;
+        }
+        return exactCount;
+    }
+
+    private static void assertProxiesHoldTheirTables(DistributorHarness harness) {
+        harness.tableByProxy.forEach(
+                (proxyId, table) -> {
+                    Map<Long, Double> ordered = harness.tables.get(table);
+                    assertEquals(ordered, harness.heldWeights.get(proxyId).get(0));
+                    assertEquals(ordered, harness.heldWeights.get(proxyId).get(1));
+                    assertEquals(
+                            harness.tableAdmission.get(table), harness.heldAdmission.get(proxyId));
+                });
+    }
+
     @Test
     void restoresOfABindAreCountedInTheChannel() {
         DistributorHarness harness = new DistributorHarness(8);
@@ -247,12 +258,12 @@
             harness.advanceOneSecond();
         }
         ProxyUpdate bind = harness.updates.get(3);
-        assertEquals(5, bind.restored().size(), "another governor may have shut these out");
+        assertEquals(5, bind.restored().size(), "another governor may have ejected these");
         assertTrue(
                 harness.controller.queuedLines() >= bind.lineCost() + 6,
                 harness.controller.queuedLines()
-                        + " booked for "
+                        + " queued for "
                         + bind.lineCost()
-                        + " and the head");
+                        + " and the message overhead");
     }
 }
