--- a/src/main/java/sprucelanding/control/settings/SettingsReader.java
+++ b/src/main/java/sprucelanding/control/settings/SettingsReader.java
@@ -5,87 +5,102 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
+
+import sprucelanding.control.decision.AdmissionMode;
+import sprucelanding.control.decision.RequestClass;
+import sprucelanding.control.decision.RoutingController;
+
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
+import java.util.OptionalInt;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
-import sprucelanding.control.decision.AdmissionMode;
-import sprucelanding.control.decision.RequestClass;
-import sprucelanding.control.decision.RoutingController;
 
 /**
- * Reads the settings object and opens a Choice with it; throws Malformed. Unknown keys are left
- * alone.
+ * Reads the settings object and creates controllers from it.
+ *
+ * <p>Unknown keys are ignored and missing ones have defaults. A value of the wrong type is a {@link
+ * MalformedInputException}, thrown when the value is asked for. Times are microseconds in the
+ * settings and milliseconds here.
  */
 public final class SettingsReader {
     private static final double MICROS_PER_MILLI = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final JsonObject root;
 
+    /**
+     * Creates a reader of a JSON text.
+     *
+     * @throws MalformedInputException if it is no JSON object
+     */
     public SettingsReader(String text) {
         try {
             root = Json.parse(text).asObject();
         } catch (ParseException | UnsupportedOperationException e) {
-            throw new MalformedInputException("settings are no JSON object: " + e.getMessage());
+            throw new MalformedInputException("settings are no JSON object: " + e.getMessage(), e);
         }
     }
 
+    /** Creates a reader of a parsed settings object. */
     public SettingsReader(JsonObject settings) {
         root = settings;
     }
 
-    /** The names of this list, "classes" for one, in its order. */
+    /** The names that this list holds, "classes" for example, in its order. */
     public List<String> names(String list) {
         return namesIn(root.get(list));
     }
 
-    private static List<String> namesIn(JsonValue list) {
-        List<String> names = new ArrayList<>();
-        for (JsonValue item : list != null && list.isArray() ? list.asArray() : new JsonArray()) {
-            JsonValue name = item.isObject() ? item.asObject().get("name") : item;
-            names.add(name != null && name.isString() ? name.asString() : "");
-        }
-        return names;
-    }
-
-    /** How many proxies there are, numbered from 0. */
+    /** How many proxies there are; they are numbered from 0. */
     public int proxyCount() {
-        return readTyped(() -> section("familyInfo").getInt("proxies", 0));
+        return readTyped(() -> section(SettingsKeys.FAMILY).getInt(SettingsKeys.PROXIES, 0));
     }
 
-    /** ms that pass between two moments of deciding at least. */
+    /** The least time between two decisions, ms. */
     public double decisionIntervalMillis() {
-        return readTyped(() -> millis(root, "tickUs", 5000));
+        return readTyped(() -> millis(root, SettingsKeys.DECISION_INTERVAL, 5000));
     }
 
-    /** ms that a connection to a replica may take to come up. */
+    /** How long a connection to an endpoint may take to come up, ms. */
     public double connectTimeoutMillis() {
-        return readTyped(() -> millis(section("ceilings"), "connectTimeoutUs", 250_000));
+        return readTyped(
+                () -> millis(section(SettingsKeys.LIMITS), SettingsKeys.CONNECT_TIMEOUT, 250_000));
     }
 
-    /** Whether replicas tell their load to probes. */
+    /** Whether endpoints report their load in responses to health checks. */
     public boolean hasLoadReports() {
-        return readTyped(() -> !section("report").getString("how", "none").equals("none"));
+        return readTyped(
+                () ->
+                        !section(SettingsKeys.REPORT)
+                                .getString(SettingsKeys.REPORT_METHOD, SettingsKeys.NO_REPORTS)
+                                .equals(SettingsKeys.NO_REPORTS));
     }
 
-    /** The report's name for the share of CPU that is busy; empty if reports do not tell it. */
+    /** The load reports' name for the busy share of CPU; empty if they do not hold it. */
     public String loadField() {
-        int column = loadColumn();
-        return column < 0 ? "" : reportFields().get(column);
-    }
-
-    /** Where that stands in a report's row; -1 if nowhere. */
-    public int loadColumn() {
-        List<String> names = reportFields();
-        int column = names.indexOf("cpu_share");
-        return column < 0 ? names.indexOf("util") : column;
+        OptionalInt column = loadColumn();
+        return column.isEmpty() ? "" : reportFields().get(column.getAsInt());
     }
 
-    private List<String> reportFields() {
-        return namesIn(section("report").get("names"));
+    /** The position of the busy share of CPU in a row of a load report; empty if it has none. */
+    public OptionalInt loadColumn() {
+        List<String> fields = reportFields();
+        int column = fields.indexOf(SettingsKeys.CPU_SHARE_FIELD);
+        if (column < 0) {
+            column = fields.indexOf(SettingsKeys.UTILIZATION_FIELD);
+        }
+        return column < 0 ? OptionalInt.empty() : OptionalInt.of(column);
     }
 
+    /**
+     * Creates a controller that is configured by the settings.
+     *
+     * @param seed of all its random numbers
+     * @throws MalformedInputException if the settings name no request class or hold a value of the
+     *     wrong type
+     */
     public RoutingController newController(long seed) {
         return readTyped(() -> buildController(seed));
     }
@@ -95,84 +110,111 @@
             return reader.get();
         } catch (UnsupportedOperationException | NumberFormatException e) {
             throw new MalformedInputException(
-                    "settings hold a value of the wrong type: " + e.getMessage());
+                    "settings hold a value of the wrong type: " + e.getMessage(), e);
         }
     }
 
     private RoutingController buildController(long seed) {
-        JsonObject family = section("familyInfo");
-        JsonObject contract = section("contract");
-        JsonObject limits = section("ceilings");
+        JsonObject family = section(SettingsKeys.FAMILY);
+        JsonObject contract = section(SettingsKeys.CONTRACT);
         RoutingController controller =
                 new RoutingController(
                         new SplittableRandom(seed),
                         requestClasses(family),
-                        names("zones").size(),
-                        switch (family.getString("admit", "none")) {
-                            case "share" -> AdmissionMode.SHARE;
-                            case "rate" -> AdmissionMode.RATE;
-                            default -> AdmissionMode.NONE;
-                        });
+                        names(SettingsKeys.ZONES).size(),
+                        admissionMode(family));
+        configureEndpointList(controller, contract);
+        configureChannel(controller, family);
+        configureFleet(controller, family, contract);
+        configureReports(controller, family);
+        return controller;
+    }
+
+    private static AdmissionMode admissionMode(JsonObject family) {
+        return switch (family.getString(SettingsKeys.ADMISSION_MODE, SettingsKeys.NO_ADMISSION)) {
+            case SettingsKeys.ADMISSION_BY_SHARE -> AdmissionMode.SHARE;
+            case SettingsKeys.ADMISSION_BY_RATE -> AdmissionMode.RATE;
+            default -> AdmissionMode.NONE;
+        };
+    }
+
+    private void configureEndpointList(RoutingController controller, JsonObject contract) {
         controller.configureEndpointList(
-                root.getString("membershipMode", "pushed").equals("pushed"),
-                contract.getBoolean("softRemoval", false),
-                contract.getDouble("coldFrom", 0.1),
-                millis(contract, "warmAfterUs", 0));
+                root.getString(SettingsKeys.ENDPOINT_LIST_MODE, SettingsKeys.LIST_IS_PUSHED)
+                        .equals(SettingsKeys.LIST_IS_PUSHED),
+                contract.getBoolean(SettingsKeys.SOFT_REMOVAL, false),
+                contract.getDouble(SettingsKeys.INITIAL_CAPACITY_SHARE, 0.1),
+                millis(contract, SettingsKeys.WARM_UP_TIME, 0));
+    }
+
+    private static void configureChannel(RoutingController controller, JsonObject family) {
         controller.configureChannel(
-                family.getDouble("egressPerS", 1000) / 1000,
-                family.getDouble("head", 0),
-                family.getDouble("queueCap", 1000),
-                family.getInt("updateCap", 0),
-                millis(family, "reloadSpanUs", 10_000_000));
+                family.getDouble(SettingsKeys.LINES_PER_SECOND, 1000) / MILLIS_PER_SECOND,
+                family.getDouble(SettingsKeys.MESSAGE_OVERHEAD, 0),
+                family.getDouble(SettingsKeys.QUEUE_CAPACITY, 1000),
+                family.getInt(SettingsKeys.MAX_MESSAGES_PER_SPAN, 0),
+                millis(family, SettingsKeys.MESSAGE_SPAN, 10_000_000));
+    }
+
+    private void configureFleet(
+            RoutingController controller, JsonObject family, JsonObject contract) {
         controller.configureFleet(
-                family.getInt("proxies", 0),
-                root.getInt("balancers", 1),
-                millis(contract, "drainGraceUs", 0),
-                millis(family, "transitMaxUs", 1_000_000));
+                family.getInt(SettingsKeys.PROXIES, 0),
+                root.getInt(SettingsKeys.GOVERNORS, 1),
+                millis(contract, SettingsKeys.DRAIN_GRACE, 0),
+                millis(family, SettingsKeys.MAX_TRANSIT_TIME, 1_000_000));
+    }
+
+    private void configureReports(RoutingController controller, JsonObject family) {
         controller.configureReports(
-                limits.getBoolean("probes", false), millis(family, "reportEveryUs", 1_000_000));
-        return controller;
+                section(SettingsKeys.LIMITS).getBoolean(SettingsKeys.HEALTH_CHECKS_ALLOWED, false),
+                millis(family, SettingsKeys.REPORT_INTERVAL, 1_000_000));
     }
 
     private RequestClass[] requestClasses(JsonObject family) {
-        JsonValue classes = root.get("classes");
-        if (classes == null || !classes.isArray() || classes.asArray().isEmpty()) {
+        JsonArray classes = arrayIn(root.get(SettingsKeys.CLASSES));
+        if (classes.isEmpty()) {
             throw new MalformedInputException("settings name no classes");
         }
-        JsonArray classArray = classes.asArray();
-        JsonValue homeOnlyFlags = family.get("homeOnly");
-        RequestClass[] requestClasses = new RequestClass[classArray.size()];
+        JsonArray ownZoneOnlyFlags = arrayIn(family.get(SettingsKeys.OWN_ZONE_ONLY));
+        RequestClass[] requestClasses = new RequestClass[classes.size()];
         for (int i = 0; i < requestClasses.length; i++) {
-            JsonObject requestClass = classArray.get(i).asObject();
-            boolean homeOnly =
-                    homeOnlyFlags != null
-                            && homeOnlyFlags.isArray()
-                            && i < homeOnlyFlags.asArray().size()
-                            && homeOnlyFlags.asArray().get(i).asBoolean();
-            requestClasses[i] =
-                    new RequestClass(
-                            i,
-                            requestClass.getString("effect", "side_effect").equals("pure"),
-                            requestClass.getDouble("worth", 1),
-                            millis(requestClass, "promiseUs", 1_000_000),
-                            indexSet(requestClass.get("onlyKinds"), "kinds"),
-                            indexSet(requestClass.get("onlyZones"), "zones"),
-                            homeOnly);
+            JsonObject requestClass = classes.get(i).asObject();
+            boolean ownZoneOnly =
+                    i < ownZoneOnlyFlags.size() && ownZoneOnlyFlags.get(i).asBoolean();
+            requestClasses[i] = requestClass(i, requestClass, ownZoneOnly);
         }
         return requestClasses;
     }
 
-    /** A list of indices or names as a set of indices; an empty one means all. */
-    private BitSet indexSet(JsonValue allowed, String listName) {
+    private RequestClass requestClass(int index, JsonObject requestClass, boolean ownZoneOnly) {
+        boolean idempotent =
+                requestClass
+                        .getString(SettingsKeys.EFFECT, SettingsKeys.EFFECT_CHANGES_STATE)
+                        .equals(SettingsKeys.EFFECT_PURE);
+        return new RequestClass(
+                index,
+                idempotent,
+                requestClass.getDouble(SettingsKeys.REVENUE, 1),
+                millis(requestClass, SettingsKeys.LATENCY_OBJECTIVE, 1_000_000),
+                indexSet(
+                        requestClass.get(SettingsKeys.ALLOWED_MACHINE_KINDS),
+                        root.get(SettingsKeys.MACHINE_KINDS)),
+                indexSet(
+                        requestClass.get(SettingsKeys.ALLOWED_ZONES), root.get(SettingsKeys.ZONES)),
+                ownZoneOnly);
+    }
+
+    /** A list of positions, or of items of the known list, as a set of positions. */
+    private static BitSet indexSet(JsonValue allowed, JsonValue known) {
         BitSet indices = new BitSet();
-        JsonValue known = root.get(listName);
-        for (JsonValue item :
-                allowed != null && allowed.isArray() ? allowed.asArray() : new JsonArray()) {
+        JsonArray knownItems = arrayIn(known);
+        for (JsonValue item : arrayIn(allowed)) {
             if (item.isNumber()) {
                 indices.set(item.asInt());
             }
-            for (int i = 0; known != null && known.isArray() && i < known.asArray().size(); i++) {
-                if (known.asArray().get(i).equals(item)) {
+            for (int i = 0; i < knownItems.size(); i++) {
+                if (knownItems.get(i).equals(item)) {
                     indices.set(i);
                 }
             }
@@ -180,6 +222,26 @@
         return indices;
     }
 
+    private List<String> reportFields() {
+        return namesIn(section(SettingsKeys.REPORT).get(SettingsKeys.REPORT_FIELDS));
+    }
+
+    /** The items of a list, which are names or objects that have one; empty for other items. */
+    private static List<String> namesIn(JsonValue list) {
+        List<String> names = new ArrayList<>();
+        for (JsonValue item : arrayIn(list)) {
+            JsonValue name = item.isObject() ? item.asObject().get(SettingsKeys.NAME) : item;
+            names.add(name != null && name.isString() ? name.asString() : "");
+        }
+        return names;
+    }
+
+    /** An array; an empty one in place of anything else. */
+    private static JsonArray arrayIn(JsonValue value) {
+        return value != null && value.isArray() ? value.asArray() : new JsonArray();
+    }
+
+    /** A section; an empty one if it is missing or no object. */
     private JsonObject section(String name) {
         JsonValue section = root.get(name);
         return section != null && section.isObject() ? section.asObject() : new JsonObject();
--- a/src/main/java/sprucelanding/simulation/simulator/CommandEncoder.java
+++ b/src/main/java/sprucelanding/simulation/simulator/CommandEncoder.java
@@ -1,8 +1,5 @@
 package sprucelanding.simulation.simulator;
 
-import java.math.BigInteger;
-import java.util.Base64;
-import java.util.BitSet;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
@@ -10,9 +7,18 @@
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.settings.DecimalFormatter;
 
-/** Writes one instance's orders as lines of the reply. */
+import java.math.BigInteger;
+import java.util.Base64;
+import java.util.BitSet;
+
+/** Writes one instance's orders as commands, a line each, into the reply of all instances. */
 final class CommandEncoder implements ControllerOutput {
     private static final int MAX_PEER_BYTES = 256;
+    private static final int MAX_TRACE_FRAMES = 3;
+    private static final double MICROS_PER_MILLI = 1000;
+
+    /** A field of the protocol that has only one value. */
+    private static final int ONLY_ACKNOWLEDGEMENT_KIND = 0;
 
     private final int instanceId;
     private final StringBuilder reply;
@@ -22,76 +28,91 @@
         this.reply = reply;
     }
 
-    private StringBuilder beginCommand(String command) {
-        return reply.append(command).append('\t').append(instanceId);
+    private CommandEncoder begin(String command) {
+        reply.append(command);
+        return field(instanceId);
+    }
+
+    private CommandEncoder field(String value) {
+        reply.append(SimulatorProtocol.FIELD_SEPARATOR).append(value);
+        return this;
+    }
+
+    private CommandEncoder field(long value) {
+        reply.append(SimulatorProtocol.FIELD_SEPARATOR).append(value);
+        return this;
+    }
+
+    private CommandEncoder decimalField(double value) {
+        reply.append(SimulatorProtocol.FIELD_SEPARATOR);
+        DecimalFormatter.append(reply, value);
+        return this;
+    }
+
+    private void end() {
+        reply.append('\n');
     }
 
     @Override
     public void setWeight(int table, Endpoint endpoint, double weight) {
-        beginCommand("LINE")
-                .append('\t')
-                .append(table)
-                .append('\t')
-                .append(endpoint.id)
-                .append('\t');
-        DecimalFormatter.append(reply, weight);
-        reply.append('\n');
+        begin(SimulatorProtocol.SET_WEIGHT)
+                .field(table)
+                .field(endpoint.id)
+                .decimalField(weight)
+                .end();
     }
 
     @Override
     public void clearTable(int table) {
-        beginCommand("TRUNCATE").append('\t').append(table).append('\n');
+        begin(SimulatorProtocol.CLEAR_TABLE).field(table).end();
     }
 
     @Override
     public void setEjected(Endpoint endpoint, boolean ejected) {
-        beginCommand("BENCH")
-                .append('\t')
-                .append(endpoint.id)
-                .append('\t')
-                .append(ejected ? 1 : 0)
-                .append('\n');
+        begin(SimulatorProtocol.SET_EJECTED)
+                .field(endpoint.id)
+                .field(ejected ? SimulatorProtocol.TRUE : SimulatorProtocol.FALSE)
+                .end();
     }
 
     @Override
     public void setAdmission(
-            int table, RequestClass requestClass, double admittedShare, int retryPolicy) {
-        beginCommand("VALVE")
-                .append('\t')
-                .append(table)
-                .append('\t')
-                .append(BigInteger.ONE.shiftLeft(requestClass.index))
-                .append('\t');
-        DecimalFormatter.append(reply, admittedShare);
-        reply.append('\t').append(retryPolicy).append('\n');
+            int table, RequestClass requestClass, double admitted, int retryPolicy) {
+        BigInteger classMask = BigInteger.ONE.shiftLeft(requestClass.index);
+        begin(SimulatorProtocol.SET_ADMISSION)
+                .field(table)
+                .field(classMask.toString())
+                .decimalField(admitted)
+                .field(retryPolicy)
+                .end();
     }
 
     @Override
     public void bindProxy(int table, Proxy proxy, BitSet requestClasses) {
-        BigInteger mask = BigInteger.ZERO;
+        BigInteger classMask = BigInteger.ZERO;
         for (int classIndex = requestClasses.nextSetBit(0);
                 classIndex >= 0;
                 classIndex = requestClasses.nextSetBit(classIndex + 1)) {
-            mask = mask.setBit(classIndex);
+            classMask = classMask.setBit(classIndex);
         }
-        beginCommand("SUBSCRIBE_TO")
-                .append('\t')
-                .append(table)
-                .append('\t')
-                .append(proxy.id)
-                .append('\t')
-                .append(mask)
-                .append('\n');
+        begin(SimulatorProtocol.BIND_PROXY)
+                .field(table)
+                .field(proxy.id)
+                .field(classMask.toString())
+                .end();
     }
 
     @Override
     public void requestAcknowledgement(int acknowledgementId) {
-        beginCommand("ASK_RECEIPT").append("\t0\t").append(acknowledgementId).append('\n');
+        begin(SimulatorProtocol.REQUEST_ACKNOWLEDGEMENT)
+                .field(ONLY_ACKNOWLEDGEMENT_KIND)
+                .field(acknowledgementId)
+                .end();
     }
 
     @Override
     public void checkHealth(Endpoint endpoint) {
-        beginCommand("CHECK").append('\t').append(endpoint.id).append('\n');
+        begin(SimulatorProtocol.CHECK_HEALTH).field(endpoint.id).end();
     }
 
     @Override
@@ -99,44 +120,43 @@
         if (payload.length > MAX_PEER_BYTES) {
             throw new IllegalArgumentException("a note of " + payload.length + " bytes");
         }
-        beginCommand("POST")
-                .append("\t*\t")
-                .append(payload.length == 0 ? "-" : Base64.getEncoder().encodeToString(payload))
-                .append('\n');
+        String encoded =
+                payload.length == 0
+                        ? SimulatorProtocol.ABSENT
+                        : Base64.getEncoder().encodeToString(payload);
+        begin(SimulatorProtocol.SEND_TO_PEERS)
+                .field(SimulatorProtocol.ALL_PEERS)
+                .field(encoded)
+                .end();
     }
 
     @Override
     public void watchEndpointList() {
-        beginCommand("TAIL").append("\t1\n");
+        begin(SimulatorProtocol.WATCH_ENDPOINT_LIST).field(SimulatorProtocol.TRUE).end();
     }
 
     @Override
     public void setTimer(int timerId, double dueMillis) {
-        long dueMicros = (long) Math.ceil(dueMillis * 1000);
-        beginCommand("SCHEDULE")
-                .append('\t')
-                .append(timerId)
-                .append('\t')
-                .append(dueMicros)
-                .append('\n');
+        long dueMicros = (long) Math.ceil(dueMillis * MICROS_PER_MILLI);
+        begin(SimulatorProtocol.SET_TIMER).field(timerId).field(dueMicros).end();
     }
 
     @Override
     public void log(DecisionEvent event) {
-        beginCommand("WRITE_LOG").append('\t').append(event.text()).append('\n');
+        begin(SimulatorProtocol.LOG).field(event.text()).end();
     }
 
+    /** Reports a failure of the controller, with the innermost frames of its stack trace. */
     void reportBug(Throwable failure) {
+        String message = failure.toString().replace('\n', ' ').replace('\t', ' ');
+        begin(SimulatorProtocol.REPORT_BUG).field(message);
         StackTraceElement[] trace = failure.getStackTrace();
-        beginCommand("BUG")
-                .append('\t')
-                .append(failure.toString().replace('\n', ' ').replace('\t', ' '));
-        for (int i = 0; i < trace.length && i < 3; i++) {
+        for (int i = 0; i < trace.length && i < MAX_TRACE_FRAMES; i++) {
             reply.append(" at ")
                     .append(trace[i].getMethodName())
                     .append(':')
                     .append(trace[i].getLineNumber());
         }
-        reply.append('\n');
+        end();
     }
 }
--- a/src/main/java/sprucelanding/simulation/simulator/SimulatorMessage.java
+++ b/src/main/java/sprucelanding/simulation/simulator/SimulatorMessage.java
@@ -1,36 +1,44 @@
 package sprucelanding.simulation.simulator;
 
-import java.util.Base64;
 import sprucelanding.control.settings.MalformedInputException;
 
-/** One line of the wire, cut at its tabs; fields are read by position and "-" is an absent one. */
+import java.util.OptionalInt;
+
+/**
+ * One line of the simulator's protocol. Its fields are read by position: the name of the message is
+ * field 0.
+ *
+ * <p>A value that does not follow its format is a {@link MalformedInputException}.
+ */
 final class SimulatorMessage {
     private static final double MICROS_PER_MILLI = 1000;
 
     private final String[] fields;
 
-    SimulatorMessage(String text) {
-        int tabs = 0;
-        for (int index = 0; index < text.length(); index++) {
-            if (text.charAt(index) == '\t') {
-                tabs++;
+    /** Splits a line at its separators; empty fields count. */
+    SimulatorMessage(String line) {
+        int separators = 0;
+        for (int index = 0; index < line.length(); index++) {
+            if (line.charAt(index) == SimulatorProtocol.FIELD_SEPARATOR) {
+                separators++;
             }
         }
-        fields = new String[tabs + 1];
+        fields = new String[separators + 1];
         int start = 0;
-        for (int index = 0; index < tabs; index++) {
-            int tab = text.indexOf('\t', start);
-            fields[index] = text.substring(start, tab);
-            start = tab + 1;
+        for (int index = 0; index < separators; index++) {
+            int end = line.indexOf(SimulatorProtocol.FIELD_SEPARATOR, start);
+            fields[index] = line.substring(start, end);
+            start = end + 1;
         }
-        fields[tabs] = text.substring(start);
+        fields[separators] = line.substring(start);
     }
 
     String name() {
         return fields[0];
     }
 
-    SimulatorMessage requireFields(int count) {
+    /** Fails unless there are so many values after the name. */
+    void requireFields(int count) {
         if (fields.length < count + 1) {
             throw new MalformedInputException(
                     name()
@@ -40,22 +48,21 @@
                             + count
                             + " are needed");
         }
-        return this;
     }
 
     boolean isAbsent(int index) {
-        return fields[index].equals("-") || fields[index].isEmpty();
+        return fields[index].equals(SimulatorProtocol.ABSENT) || fields[index].isEmpty();
     }
 
     String text(int index) {
         return fields[index];
     }
 
-    /** The rest of the line from a field on, tabs included. */
+    /** The rest of the line from a field on, separators included. */
     String rest(int index) {
         StringBuilder rest = new StringBuilder(fields[index]);
-        for (int k = index + 1; k < fields.length; k++) {
-            rest.append('\t').append(fields[k]);
+        for (int i = index + 1; i < fields.length; i++) {
+            rest.append(SimulatorProtocol.FIELD_SEPARATOR).append(fields[i]);
         }
         return rest.toString();
     }
@@ -65,7 +72,7 @@
             return Long.parseLong(fields[index]);
         } catch (NumberFormatException e) {
             throw new MalformedInputException(
-                    name() + " value " + index + " is no whole number: " + fields[index]);
+                    name() + " value " + index + " is no whole number: " + fields[index], e);
         }
     }
 
@@ -78,7 +85,7 @@
         return (int) value;
     }
 
-    /** A number; absent or not finite gives the default. */
+    /** A number; the default if it is absent or not finite. */
     double doubleValue(int index, double defaultValue) {
         if (isAbsent(index)) {
             return defaultValue;
@@ -88,54 +95,53 @@
             return Double.isFinite(value) ? value : defaultValue;
         } catch (NumberFormatException e) {
             throw new MalformedInputException(
-                    name() + " value " + index + " is no number: " + fields[index]);
+                    name() + " value " + index + " is no number: " + fields[index], e);
         }
     }
 
-    /** A time or a span of the wire, in ms. */
+    /** A time or a duration, ms; 0 if it is absent. */
     double millis(int index) {
         return isAbsent(index) ? 0 : longValue(index) / MICROS_PER_MILLI;
     }
 
     boolean booleanValue(int index) {
-        if (fields[index].equals("1") || fields[index].equals("0")) {
-            return fields[index].equals("1");
+        if (fields[index].equals(SimulatorProtocol.TRUE)) {
+            return true;
+        }
+        if (fields[index].equals(SimulatorProtocol.FALSE)) {
+            return false;
         }
         throw new MalformedInputException(
                 name() + " value " + index + " is neither 1 nor 0: " + fields[index]);
     }
 
-    byte[] bytes(int index) {
-        try {
-            return isAbsent(index) ? new byte[0] : Base64.getDecoder().decode(fields[index]);
-        } catch (IllegalArgumentException e) {
-            throw new MalformedInputException(name() + " value " + index + " is not base64");
-        }
-    }
-
-    /** One value of a row set apart by commas; NaN if the row or the value is missing. */
-    double rowValue(int index, int column) {
-        if (column < 0 || index >= fields.length || isAbsent(index)) {
+    /** One value of a row; NaN if there is no such column, row or value. */
+    double rowValue(int index, OptionalInt column) {
+        if (column.isEmpty() || index >= fields.length || isAbsent(index)) {
             return Double.NaN;
         }
-        String row = fields[index];
-        int start = 0;
-        for (int k = 0; k < column; k++) {
-            start = row.indexOf(',', start) + 1;
-            if (start == 0) {
-                return Double.NaN;
-            }
-        }
-        int end = row.indexOf(',', start);
-        String value = end < 0 ? row.substring(start) : row.substring(start, end);
-        if (value.isEmpty() || value.equals("-")) {
+        String value = rowItem(fields[index], column.getAsInt());
+        if (value.isEmpty() || value.equals(SimulatorProtocol.ABSENT)) {
             return Double.NaN;
         }
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
             throw new MalformedInputException(
-                    name() + " value " + index + " holds no number: " + value);
+                    name() + " value " + index + " holds no number: " + value, e);
+        }
+    }
+
+    /** The item of a row at this position; empty if the row is shorter. */
+    private static String rowItem(String row, int column) {
+        int start = 0;
+        for (int i = 0; i < column; i++) {
+            start = row.indexOf(SimulatorProtocol.ROW_SEPARATOR, start) + 1;
+            if (start == 0) {
+                return "";
+            }
         }
+        int end = row.indexOf(SimulatorProtocol.ROW_SEPARATOR, start);
+        return end < 0 ? row.substring(start) : row.substring(start, end);
     }
 }
--- a/src/test/java/sprucelanding/simulation/simulator/RecordedAdapterTest.java
+++ b/src/test/java/sprucelanding/simulation/simulator/RecordedAdapterTest.java
@@ -1,20 +1,22 @@
 package sprucelanding.simulation.simulator;
 
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * Compares the simulator adapter's replies to recorded inputs, byte for byte.
  *
- * <p>The inputs hold what a simulator sent while it obeyed the orders of that time: timers, probe
- * results and receipts answer the recorded replies. Run with {@code -Drecorded.write=true} to write
- * the recordings; they are never edited later: a difference is a defect of the step.
+ * <p>The inputs hold what a simulator sent while it executed the commands of that time: its timers,
+ * health check results and acknowledgements fit the recorded replies. Run with {@code
+ * -Drecorded.write=true} to write the recordings; they are never edited later: a difference is a
+ * defect of the change.
  */
 class RecordedAdapterTest {
     private static final String CASE = "==== ";
@@ -42,14 +44,14 @@
     }
 
     /**
-     * Several instances: three with different settings, which crash and start again; a rush of
-     * proxies that join one with a slow channel.
+     * One scenario has three instances with different settings, which crash and start again; in the
+     * other many proxies join an instance with a slow channel.
      */
     @ParameterizedTest
     @ValueSource(strings = {"several-instances", "join-rush"})
-    void repliesToWholeDays(String day) throws IOException {
-        String input = WireRecording.input("adapter/" + day + ".in");
-        WireRecording.check("adapter/" + day + ".out", transcript(run(input)));
+    void repliesToWholeScenarios(String scenario) throws IOException {
+        String input = WireRecording.input("adapter/" + scenario + ".in");
+        WireRecording.check("adapter/" + scenario + ".out", transcript(run(input)));
     }
 
     /** Each case is the whole input of an adapter of its own. */
