--- a/src/main/java/sprucelanding/cli/Main.java
+++ b/src/main/java/sprucelanding/cli/Main.java
@@ -4,17 +4,23 @@
 import sprucelanding.simulation.simulator.SimulatorAdapter;
 
 /**
- * The program's door. The adapter and the governor in service start at once; all else through
- * Commands, which brings the libraries in.
+ * The program's entry point.
+ *
+ * <p>The simulator adapter and the governor in service start from here, as memory and start time
+ * are scarce there; all else goes through {@link Commands}, which loads more libraries.
  */
 public final class Main {
+    private static final String ADAPTER_COMMAND = "adapter";
+    private static final String SERVE_COMMAND = "serve";
+
     private Main() {}
 
+    /** Runs the command that the arguments name and exits with its code. */
     public static void main(String[] args) {
-        if (args.length == 1 && args[0].equals("adapter")) {
+        if (args.length == 1 && args[0].equals(ADAPTER_COMMAND)) {
             System.exit(new SimulatorAdapter(System.in, System.out, System.err).run());
         }
-        if (args.length == 1 && args[0].equals("serve")) {
+        if (args.length == 1 && args[0].equals(SERVE_COMMAND)) {
             System.exit(GovernorServer.run(System.getenv(), System.err));
         }
         System.exit(Commands.run(args));
