--- a/src/main/java/sprucelanding/simulation/rules/RuleLimits.java
+++ b/src/main/java/sprucelanding/simulation/rules/RuleLimits.java
@@ -3,19 +3,23 @@
 import java.util.List;
 
 /**
- * The figures of the rules.
+ * The limits that the rules are checked against. Times are in milliseconds.
  *
- * @param grace ms until a proxy must have stopped sending
- * @param bare ms that a proxy may be without a line
- * @param coldFrom share of its capacity at which a replica starts at least
- * @param warmAfter ms until it is warm
- * @param tip multiple of what it can do that pushes a cold one over, if brought for fall ms
- * @param lines that may wait in a governor's channel
- * @param pace lines a ms that the channel is stated to carry
- * @param head lines that a message costs beside its own
- * @param messages of one governor to one proxy within span ms; 0: no limit
- * @param onceOnly by product, whether an effect must not happen twice
- * @param softRemoval a replica that left the list without draining may still be sent to
+ * @param graceMillis time until a proxy must have stopped sending to a removed endpoint
+ * @param withoutEntriesMillis time that a proxy may be without a table entry
+ * @param coldCapacityShare least share of its capacity that an endpoint has at its start
+ * @param warmupMillis time until an endpoint has its full capacity
+ * @param overloadFactor multiple of its capacity that overloads an endpoint while it warms up
+ * @param overloadWindowMillis span over which the work of a warming endpoint is summed
+ * @param maxQueuedEntries entries that may wait in a governor's channel
+ * @param entriesPerMilli entries per millisecond that a governor's channel carries
+ * @param messageOverhead cost of a message beside its entries, in entries
+ * @param maxMessagesPerSpan messages of one governor to one proxy within {@code messageSpanMillis};
+ *     0 for no limit
+ * @param messageSpanMillis span over which messages are counted
+ * @param nonRetryable by request class, whether a request must not be executed twice
+ * @param softRemoval whether requests may still be sent to an endpoint that left the list without
+ *     draining
  */
 public record RuleLimits(
         double graceMillis,
--- a/src/main/java/sprucelanding/simulation/rules/TraceEvent.java
+++ b/src/main/java/sprucelanding/simulation/rules/TraceEvent.java
@@ -1,10 +1,22 @@
 package sprucelanding.simulation.rules;
 
-/** What a stand-in saw at a socket of its own. Times are ms on the machine's monotonic clock. */
+import java.util.Set;
+
+/**
+ * An event that a simulated peer observed at a socket of its own, or that a script caused. Times
+ * are milliseconds on the machine's monotonic clock.
+ */
 public sealed interface TraceEvent {
+    /** Returns the time of the event. */
     double at();
 
-    /** A request reached a replica, sent by a proxy, with its work in ms. */
+    /**
+     * An attempt of a request reached an endpoint.
+     *
+     * @param proxy the sender
+     * @param attempt number of the attempt
+     * @param workMillis work that the request takes
+     */
     record AttemptSent(
             double at,
             int proxy,
@@ -15,16 +27,24 @@
             double workMillis)
             implements TraceEvent {}
 
-    /** A replica did what a txn asked for. */
+    /** An endpoint executed a request. */
     record Executed(
             double at, long endpointId, int requestClass, long requestId, int proxy, int attempt)
             implements TraceEvent {}
 
-    /** A client asked for something, its work in ms, through its proxy. */
+    /**
+     * A client sent a request to its proxy.
+     *
+     * @param workMillis work that the request takes
+     */
     record RequestArrived(double at, int proxy, int requestClass, long requestId, double workMillis)
             implements TraceEvent {}
 
-    /** A client's txn ended, so long after it was first asked for. */
+    /**
+     * A client's request ended.
+     *
+     * @param latencyMillis time since the client first sent it
+     */
     record RequestEnded(
             double at,
             int requestClass,
@@ -34,27 +54,32 @@
             implements TraceEvent {}
 
     /**
-     * The roster wrote to a governor how a replica stands; started is on this clock, 0 if long
-     * past.
+     * Discovery reported the state of an endpoint to a governor.
+     *
+     * @param startedAt start of the endpoint on the same clock; 0 if it started long ago
      */
     record EndpointReported(
             double at, int governor, long endpointId, boolean ready, double startedAt)
             implements TraceEvent {}
 
-    /** The roster wrote a whole list: who is not told right after it is gone. */
-    record EndpointListReported(double at, int governor, java.util.Set<Long> endpointIds)
+    /** Discovery reported a whole list to a governor: endpoints that aren't on it are removed. */
+    record EndpointListReported(double at, int governor, Set<Long> endpointIds)
             implements TraceEvent {}
 
-    /** A proxy's stream to a governor came about: it got a first answer on it. */
+    /** A proxy received the first response on its stream to a governor. */
     record ProxyJoined(double at, int proxy, int governor) implements TraceEvent {}
 
+    /** A proxy's stream to its governor ended. */
     record ProxyLeft(double at, int proxy) implements TraceEvent {}
 
     /**
-     * A proxy read a message of a governor's.
+     * A proxy read a message of a governor.
      *
-     * @param voice who wrote it and under which epoch, by its own word: NAME#EPOCH; no epoch where
-     *     governors do not share
+     * @param front protocol of the message
+     * @param kind resource type or operation
+     * @param entries table entries in the message
+     * @param governorEpoch writer and its epoch as the message states them, NAME#EPOCH; without an
+     *     epoch where governors don't share the fleet
      */
     record MessageSent(
             double at,
@@ -68,30 +93,45 @@
             implements TraceEvent {}
 
     /**
-     * By script something befell a governor: kill, pause, stop, cut (from its proxies) or alone
-     * (among governors).
+     * A script injected a fault into a governor.
+     *
+     * @param fault kill, pause, stop, cut (off from its proxies) or alone (cut off from the other
+     *     governors)
      */
     record FaultInjected(double at, int governor, String fault) implements TraceEvent {}
 
+    /** A proxy acknowledged or rejected a message. */
     record MessageAnswered(double at, int proxy, long nonce, boolean rejected)
             implements TraceEvent {}
 
-    /** By script a proxy reads nothing, or reads again: in between nobody can tell it anything. */
+    /**
+     * A script made a proxy stop or resume reading; while it doesn't read it cannot learn anything.
+     */
     record ReadingChanged(double at, int proxy, boolean reading) implements TraceEvent {}
 
-    /** How many lines a proxy has to pick from for a product. */
+    /** The number of entries that a proxy can select from for a request class changed. */
     record TableChanged(double at, int proxy, int requestClass, int entries)
             implements TraceEvent {}
 
-    /** A replica's process began: what it can do when warm, ms of work a ms. */
+    /**
+     * An endpoint's process started.
+     *
+     * @param capacity work per millisecond, in milliseconds, once it is warm
+     */
     record EndpointStarted(double at, long endpointId, double capacity) implements TraceEvent {}
 
+    /** An endpoint's process ended. */
     record EndpointStopped(double at, long endpointId) implements TraceEvent {}
 
+    /** How a client's request ended. */
     enum RequestOutcome {
+        /** Answered within its time limit. */
         IN_TIME,
+        /** Answered after its time limit. */
         LATE,
+        /** Rejected by admission control. */
         DECLINED,
+        /** Failed. */
         VOIDED
     }
 }
--- a/src/main/java/sprucelanding/simulation/rules/Verdict.java
+++ b/src/main/java/sprucelanding/simulation/rules/Verdict.java
@@ -1,9 +1,14 @@
 package sprucelanding.simulation.rules;
 
 /**
- * One rule's verdict: how often it was broken, and the first case, or what came nearest to a break.
+ * The result of one rule.
+ *
+ * @param rule name of the rule as reports print it
+ * @param broken number of violations
+ * @param evidence the first violation, or else the case that came nearest to one
  */
 public record Verdict(String rule, int broken, String evidence) {
+    /** Returns whether the rule was never violated. */
     public boolean kept() {
         return broken == 0;
     }
--- a/src/test/java/sprucelanding/simulation/rules/RuleCheckerTest.java
+++ b/src/test/java/sprucelanding/simulation/rules/RuleCheckerTest.java
@@ -4,11 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Traffic that breaks each rule, and the same but for one thing, which keeps it. */
+/** For each rule, events that violate it, and events that differ in one thing and keep it. */
 class RuleCheckerTest {
     private static final RuleLimits LIMITS =
             new RuleLimits(
@@ -28,7 +29,7 @@
     private final List<TraceEvent> events = new ArrayList<>();
 
     private List<Verdict> check() {
-        events.sort(java.util.Comparator.comparingDouble(TraceEvent::at));
+        events.sort(Comparator.comparingDouble(TraceEvent::at));
         return RuleChecker.check(events, LIMITS);
     }
 
@@ -148,7 +149,7 @@
         violations(-1);
         events.add(new TraceEvent.MessageSent(5200, 7, 0, "xds", "LbEndpoint", 3, 60, ""));
         violations(4);
-        events.removeIf(s -> s instanceof TraceEvent.MessageSent);
+        events.removeIf(event -> event instanceof TraceEvent.MessageSent);
         for (int i = 0; i < 6; i++) {
             events.add(
                     new TraceEvent.MessageSent(
