--- a/src/main/java/sprucelanding/simulation/scenario/FaultTarget.java
+++ b/src/main/java/sprucelanding/simulation/scenario/FaultTarget.java
@@ -3,105 +3,143 @@
 import java.util.List;
 import sprucelanding.control.discovery.ListedEndpoint;
 
-/** What can be done to a fleet, on sockets or emulated; its members go by position. Times in ms. */
+/**
+ * A fleet that faults are injected into, on sockets or emulated. Members and zones are named by
+ * their position. Times are in milliseconds. All methods are called on the thread that runs
+ * scheduled actions.
+ */
 public interface FaultTarget {
+    /** In place of the position of a zone: no zone. */
+    int NO_ZONE = -1;
+
+    /** In place of a limit: as many connections as the endpoint has room for. */
+    int UNLIMITED_CONNECTIONS = 0;
+
+    /** Returns the number of endpoints. */
     int endpointCount();
 
+    /** Returns the number of proxies. */
     int proxyCount();
 
-    /** Proxies that take NETCONF edits, the last ones. */
+    /** Returns the number of proxies that take NETCONF edits, the last ones. */
     int deviceCount();
 
+    /** Returns the number of governors. */
     int governorCount();
 
-    /** Zones by position. */
+    /** Returns the zone of an endpoint. */
     int endpointZone(int endpoint);
 
+    /** Returns the zone of a proxy. */
     int proxyZone(int proxy);
 
+    /** Returns the zone of a governor. */
     int governorZone(int governor);
 
+    /** Runs an action later on the calling thread. */
     void schedule(double delayMillis, Runnable action);
 
+    /** Ends an endpoint's process. */
     void crashEndpoint(int endpoint);
 
+    /** Starts an endpoint's process. */
     void startEndpoint(int endpoint);
 
+    /** Returns whether an endpoint's process runs. */
     boolean isEndpointUp(int endpoint);
 
+    /** Makes an endpoint accept requests without answering them. */
     void setEndpointHanging(int endpoint, boolean active);
 
+    /** Makes an endpoint slower by a factor; 1 for its usual speed. */
     void setEndpointSlowdown(int endpoint, double factor);
 
+    /** Makes an endpoint answer a share of the requests with an error. */
     void setEndpointFailureShare(int endpoint, double share);
 
+    /** Pauses an endpoint's process, or continues it. */
     void setEndpointPaused(int endpoint, boolean active);
 
-    /** Another program takes this share of the machine. */
+    /** Lets another program take a share of an endpoint's machine. */
     void setEndpointOccupiedShare(int endpoint, double share);
 
-    /** 0: as many as it has. */
+    /** Limits an endpoint's connections, or {@link #UNLIMITED_CONNECTIONS}. */
     void limitEndpointConnections(int endpoint, int limit);
 
-    /** It hears nothing from that zone; -1: it hears all. */
+    /** Makes an endpoint ignore all packets of a zone; with {@link #NO_ZONE} it ignores none. */
     void setEndpointUnreachableFrom(int endpoint, int zone);
 
-    /** The roster learns how they stand, and tells so much later. */
+    /** Tells discovery the state of endpoints, which it reports after a delay. */
     void announceToDiscovery(
             List<Integer> endpoints, ListedEndpoint.State stage, double delayMillis);
 
+    /** Makes discovery report changes later. */
     void delayDiscovery(double delayMillis);
 
+    /** Restarts discovery, which closes its watches. */
     void restartDiscovery();
 
+    /** Cuts a zone off from the others, or reconnects it. */
     void setZoneCut(int zone, boolean active);
 
-    /** Clients ask so many times as much. */
+    /** Multiplies the request rate of all clients. */
     void setRequestRateFactor(double factor);
 
+    /** Ends a proxy's process. */
     void crashProxy(int proxy);
 
+    /** Starts a proxy's process. */
     void startProxy(int proxy);
 
+    /** Cuts a proxy off from all governors, or reconnects it. */
     void setProxyIsolated(int proxy, boolean active);
 
+    /** Makes a proxy acknowledge messages later. */
     void delayProxyAcknowledgements(int proxy, double delayMillis);
 
+    /** Makes a proxy reject its next messages. */
     void rejectProxyMessages(int proxy, int messages);
 
+    /** Makes a proxy stop or resume reading from its governor. */
     void setProxyReadStopped(int proxy, boolean active);
 
+    /** Kills a governor's process. */
     void killGovernor(int governor);
 
+    /** Starts a governor's process. */
     void startGovernor(int governor);
 
+    /** Pauses a governor's process, or continues it. */
     void setGovernorPaused(int governor, boolean active);
 
-    /** Planned: it sends its proxies on and stops. */
+    /** Stops a governor as planned: it sends its proxies to other governors before it ends. */
     void stopGovernor(int governor);
 
-    /** Its proxies and it do not hear each other; other governors hear it. */
+    /** Cuts a governor off from its proxies, but not from other governors, or reconnects it. */
     void setGovernorCut(int governor, boolean active);
 
-    /** Other governors and it do not hear each other; its proxies do. */
+    /** Cuts a governor off from other governors, but not from its proxies, or reconnects it. */
     void setPeersCut(int governor, boolean active);
 
-    /** Governors lose this share of what they tell each other. */
+    /** Makes the network lose a share of the packets between governors. */
     void setPeerLossShare(double share);
 
-    /** Something befalls a governor, for the record. */
+    /**
+     * Records what befalls a governor.
+     *
+     * @param fault as in {@link sprucelanding.simulation.rules.TraceEvent.FaultInjected}
+     */
     void faultInjected(int governor, String fault);
 
-    /** By position among the devices. */
+    /** Lets another manager hold the lock of a device, by its position among devices. */
     void holdDeviceLock(int device, double delayMillis);
 
+    /** Makes a device execute its next requests without answering them. */
     void muteDevice(int device, int answers);
 
+    /** Changes the configuration of a device behind the governor's back. */
     void driftDevice(int device);
 
-    /**
-     * The next stream of a governor to proxies of a zone that brings this many bytes more breaks
-     * there.
-     */
+    /** Breaks the next stream of a governor to a zone that carries this many bytes more. */
     void breakConnectionAfter(int governor, int zone, int bytes);
 }
