--- a/src/main/java/sprucelanding/simulation/scenario/ControlGaps.java
+++ b/src/main/java/sprucelanding/simulation/scenario/ControlGaps.java
@@ -5,81 +5,119 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import java.util.OptionalInt;
 import java.util.TreeMap;
 import sprucelanding.simulation.rules.TraceEvent;
 
 /**
- * How long proxies were without a governor that could tell them anything, by what befell theirs:
- * from when it was killed, paused or cut off (from the end of their stream, where it stopped as
- * planned) until they read a first message again.
+ * Measures how long proxies were without a governor that could reach them, by the fault that hit
+ * their governor. A gap begins when the governor is killed, paused or cut off, or when the stream
+ * ends if the governor stopped as planned; it ends with the next message that the proxy reads, or
+ * when the proxy joins a governor.
  */
 final class ControlGaps {
-    private static final double IN_FLIGHT_MILLIS =
-            200; // ms in which messages from before may still be read
+    /** Messages from before a fault may still be read for this long. */
+    private static final double IN_FLIGHT_MILLIS = 200;
 
-    private static final class ProxyGap {
-        int governor = -1;
-        String cause;
-        double since = Double.NaN;
+    private static final double HIGH_PERCENTILE = 0.99;
+
+    /**
+     * The gaps after one kind of fault. Times are in milliseconds.
+     *
+     * @param proxies number of gaps
+     */
+    record GapSummary(int proxies, double p50Millis, double p99Millis, double maxMillis) {
+        static GapSummary of(List<Double> durations) {
+            Collections.sort(durations);
+            int count = durations.size();
+            return new GapSummary(
+                    count,
+                    durations.get(count / 2),
+                    durations.get(Math.min(count - 1, (int) (count * HIGH_PERCENTILE))),
+                    durations.get(count - 1));
+        }
     }
 
-    private final Map<Integer, ProxyGap> proxies = new HashMap<>();
-    private final Map<String, List<Double>> gapsByCause = new TreeMap<>();
+    /** A proxy's governor, and the gap that it is in. */
+    private static final class ProxyGap {
+        private OptionalInt governor = OptionalInt.empty();
+        private Optional<String> cause = Optional.empty();
+        private OptionalDouble since = OptionalDouble.empty();
 
-    private ProxyGap proxy(int id) {
-        return proxies.computeIfAbsent(id, key -> new ProxyGap());
+        boolean isJoinedTo(int number) {
+            return governor.isPresent() && governor.getAsInt() == number;
+        }
     }
 
+    private final Map<Integer, ProxyGap> proxies = new HashMap<>();
+    private final Map<String, List<Double>> durationsByCause = new TreeMap<>();
+
+    /** Takes the next event, in order of time. */
     void record(TraceEvent event) {
-        if (event instanceof TraceEvent.FaultInjected struck) {
-            for (ProxyGap gap : proxies.values()) {
-                if (gap.governor == struck.governor()
-                        && gap.cause == null
-                        && !struck.fault().equals("alone")) {
-                    gap.cause = struck.fault();
-                    gap.since = struck.fault().equals("stop") ? Double.NaN : struck.at();
-                }
-            }
+        if (event instanceof TraceEvent.FaultInjected fault) {
+            faultInjected(fault);
         } else if (event instanceof TraceEvent.ProxyLeft left) {
-            ProxyGap gap = proxy(left.proxy());
-            gap.governor = -1;
-            gap.since = gap.cause != null && Double.isNaN(gap.since) ? left.at() : gap.since;
+            proxyLeft(left);
         } else if (event instanceof TraceEvent.ProxyJoined joined) {
             ProxyGap gap = proxy(joined.proxy());
-            gap.governor = joined.governor();
+            gap.governor = OptionalInt.of(joined.governor());
             endGap(gap, joined.at());
         } else if (event instanceof TraceEvent.MessageSent message) {
-            ProxyGap gap = proxy(message.proxy());
-            if (gap.governor == message.governor() && message.at() > gap.since + IN_FLIGHT_MILLIS) {
-                endGap(gap, message.at());
+            messageSent(message);
+        }
+    }
+
+    private ProxyGap proxy(int number) {
+        return proxies.computeIfAbsent(number, key -> new ProxyGap());
+    }
+
+    private void faultInjected(TraceEvent.FaultInjected fault) {
+        if (fault.fault().equals(GovernorFault.PEERS_CUT.word())) {
+            return; // its proxies still reach it
+        }
+        boolean planned = fault.fault().equals(GovernorFault.STOP.word());
+        for (ProxyGap gap : proxies.values()) {
+            if (gap.isJoinedTo(fault.governor()) && gap.cause.isEmpty()) {
+                gap.cause = Optional.of(fault.fault());
+                gap.since = planned ? OptionalDouble.empty() : OptionalDouble.of(fault.at());
             }
         }
     }
 
+    private void proxyLeft(TraceEvent.ProxyLeft left) {
+        ProxyGap gap = proxy(left.proxy());
+        gap.governor = OptionalInt.empty();
+        if (gap.cause.isPresent() && gap.since.isEmpty()) {
+            gap.since = OptionalDouble.of(left.at());
+        }
+    }
+
+    private void messageSent(TraceEvent.MessageSent message) {
+        ProxyGap gap = proxy(message.proxy());
+        if (gap.isJoinedTo(message.governor())
+                && gap.since.isPresent()
+                && message.at() > gap.since.getAsDouble() + IN_FLIGHT_MILLIS) {
+            endGap(gap, message.at());
+        }
+    }
+
     private void endGap(ProxyGap gap, double at) {
-        if (gap.cause != null && !Double.isNaN(gap.since)) {
-            gapsByCause.computeIfAbsent(gap.cause, key -> new ArrayList<>()).add(at - gap.since);
-            gap.cause = null;
-            gap.since = Double.NaN;
+        if (gap.cause.isPresent() && gap.since.isPresent()) {
+            durationsByCause
+                    .computeIfAbsent(gap.cause.get(), key -> new ArrayList<>())
+                    .add(at - gap.since.getAsDouble());
+            gap.cause = Optional.empty();
+            gap.since = OptionalDouble.empty();
         }
     }
 
-    /** By what befell the governor: how many proxies, and p50, p99 and the most, ms. */
-    Map<String, double[]> summaries() {
-        Map<String, double[]> summaries = new TreeMap<>();
-        gapsByCause.forEach(
-                (cause, durations) -> {
-                    Collections.sort(durations);
-                    int count = durations.size();
-                    summaries.put(
-                            cause,
-                            new double[] {
-                                count,
-                                durations.get(count / 2),
-                                durations.get(Math.min(count - 1, (int) (count * 0.99))),
-                                durations.get(count - 1)
-                            });
-                });
+    /** Returns the gaps by the word of their cause, in alphabetical order. */
+    Map<String, GapSummary> summaries() {
+        Map<String, GapSummary> summaries = new TreeMap<>();
+        durationsByCause.forEach(
+                (cause, durations) -> summaries.put(cause, GapSummary.of(durations)));
         return summaries;
     }
 }
--- a/src/main/java/sprucelanding/simulation/scenario/GovernorProcess.java
+++ b/src/main/java/sprucelanding/simulation/scenario/GovernorProcess.java
@@ -1,8 +1,8 @@
 package sprucelanding.simulation.scenario;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import java.io.File;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -12,153 +12,149 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
+import sprucelanding.simulation.process.JavaProcess;
 
 /**
- * A governor as a process of its own: started, killed outright, stopped and let go on by signals.
+ * A governor in a process of its own ({@code govern}), which can be killed, paused and stopped. Its
+ * log is read for the figures that it reports.
  */
 public final class GovernorProcess {
-    final int number;
-    final int zone;
-    final int port;
-    private final Path config;
+    private static final List<String> JVM_OPTIONS =
+            List.of("-Xmx512m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=4");
+    private static final int READY_SECONDS = 20;
+    private static final int CONNECT_TIMEOUT_MILLIS = 200;
+    private static final int CONNECT_INTERVAL_MILLIS = 20;
+    private static final int STOP_SECONDS = 3;
+    private static final int MAX_QUOTED_CHARACTERS = 2000;
+    private static final String FIGURES_EVENT = "\"message\":\"figures\"";
+    private static final String FRONT_EVENT = "\"message\":\"front\"";
+
+    private final int number;
+    private final int zone;
+    private final int port;
     private final Path log;
-    private final Path overlay;
-    private Process process;
+    private final JavaProcess process;
 
+    /**
+     * Writes the configuration of a governor that isn't started yet.
+     *
+     * @param port port that its proxies connect to
+     * @param folder folder for configuration and log
+     * @param overlay records that replace some of the configuration
+     */
     GovernorProcess(
-            int number, int zone, int port, Path folder, String governorConfig, Path overlay)
+            int number,
+            int zone,
+            int port,
+            Path folder,
+            String governorConfig,
+            Optional<Path> overlay)
             throws IOException {
-        this.overlay = overlay;
         this.number = number;
         this.zone = zone;
         this.port = port;
-        this.config = folder.resolve("governor-" + number + ".cue");
         this.log = folder.resolve("governor-" + number + ".log");
+        Path config = folder.resolve("governor-" + number + ".cue");
         Files.writeString(config, governorConfig);
+        List<String> arguments = new ArrayList<>(List.of("govern", "--config", config.toString()));
+        overlay.ifPresent(file -> arguments.addAll(List.of("--with", file.toString())));
+        process = new JavaProcess(JVM_OPTIONS, arguments, log);
+    }
+
+    int number() {
+        return number;
+    }
+
+    int zone() {
+        return zone;
+    }
+
+    int port() {
+        return port;
     }
 
     void start() {
         try {
-            String java = ProcessHandle.current().info().command().orElse("java");
-            List<String> command =
-                    new ArrayList<>(
-                            List.of(
-                                    java,
-                                    "-Xmx512m",
-                                    "-XX:+UseSerialGC",
-                                    "-XX:TieredStopAtLevel=4",
-                                    "-cp",
-                                    System.getProperty("java.class.path"),
-                                    "sprucelanding.cli.Main",
-                                    "govern",
-                                    "--config",
-                                    config.toString()));
-            if (overlay != null) {
-                command.addAll(List.of("--with", overlay.toString()));
-            }
-            process =
-                    new ProcessBuilder(command)
-                            .redirectErrorStream(true)
-                            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
-                            .start();
+            process.start(Map.of());
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException("no governor can be started", e);
+            throw new UncheckedIOException("no governor can be started", e);
         }
     }
 
-    /** Waits until it listens; throws IOException with its log's end if it does not. */
+    /** Waits until it listens; throws IOException with the end of its log if it doesn't. */
     void awaitReady() throws IOException, InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
         while (System.nanoTime() < deadline && process.isAlive()) {
             try (Socket socket = new Socket()) {
-                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
+                socket.connect(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                        CONNECT_TIMEOUT_MILLIS);
                 return;
             } catch (IOException e) {
-                Thread.sleep(20);
+                Thread.sleep(CONNECT_INTERVAL_MILLIS); // not yet
             }
         }
         String logged = Files.readString(log);
-        throw new IOException(
-                "governor "
-                        + number
-                        + " does not listen: "
-                        + logged.substring(Math.max(0, logged.length() - 2000)));
+        String end = logged.substring(Math.max(0, logged.length() - MAX_QUOTED_CHARACTERS));
+        throw new IOException("governor " + number + " does not listen: " + end);
     }
 
     boolean isAlive() {
-        return process != null && process.isAlive();
+        return process.isAlive();
     }
 
     void kill() {
-        process.destroyForcibly();
+        process.kill();
     }
 
-    void signal(String name) {
-        try {
-            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
-                    .redirectErrorStream(true)
-                    .redirectOutput(new File("/dev/null"))
-                    .start();
-        } catch (IOException e) {
-            throw new java.io.UncheckedIOException("no signal can be sent", e);
-        }
+    void signal(JavaProcess.Signal signal) {
+        process.signal(signal);
     }
 
+    /** Ends it and waits until it has ended, by force after some seconds. */
     void stop() throws InterruptedException {
-        if (process != null) {
-            signal("CONT");
-            process.destroy();
-            if (!process.waitFor(3, TimeUnit.SECONDS)) {
-                process.destroyForcibly();
+        if (process.isStarted()) {
+            process.signal(JavaProcess.Signal.CONT);
+            process.terminate();
+            if (!process.awaitEnd(STOP_SECONDS)) {
+                process.kill();
             }
         }
     }
 
-    /** ms of CPU so far; 0 if it is not known. */
+    /** Returns its processor time so far in ms; 0 if it isn't known. */
     double cpuMillis() {
-        return process == null
-                ? 0
-                : process.info()
-                        .totalCpuDuration()
-                        .map(duration -> duration.toNanos() / 1e6)
-                        .orElse(0.0);
+        return process.handle()
+                .flatMap(handle -> handle.info().totalCpuDuration())
+                .map(duration -> duration.toNanos() / 1e6)
+                .orElse(0.0);
     }
 
-    /** MiB that it held at the most; 0 if it is not known. */
+    /** Returns the most memory that it has held, in MiB; 0 if it isn't known. */
     double memoryMiB() {
-        try (var lines = Files.lines(Path.of("/proc/" + process.pid() + "/status"))) {
+        if (!process.isStarted()) {
+            return 0;
+        }
+        Path status = Path.of("/proc/" + process.handle().orElseThrow().pid() + "/status");
+        try (Stream<String> lines = Files.lines(status)) {
             return lines.filter(line -> line.startsWith("VmHWM"))
                     .findFirst()
                     .map(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1024)
                     .orElse(0.0);
-        } catch (IOException | RuntimeException e) {
-            return 0;
+        } catch (IOException | UncheckedIOException | NumberFormatException e) {
+            return 0; // the process has ended, or the system has no such file
         }
     }
 
-    /** The lines of figures that it logged, oldest first. */
+    /** Returns the figures that it logged, one map a line, oldest first. */
     List<Map<String, String>> figures(ObjectMapper json) {
         List<Map<String, String>> figures = new ArrayList<>();
-        try (var lines = Files.lines(log)) {
-            for (String line :
-                    lines.filter(
-                                    logLine ->
-                                            logLine.contains("\"message\":\"figures\"")
-                                                    || logLine.contains("\"message\":\"front\""))
-                            .toList()) {
-                Map<String, String> logged = new LinkedHashMap<>();
-                json.readTree(line)
-                        .path("kvpList")
-                        .forEach(
-                                pair ->
-                                        pair.fields()
-                                                .forEachRemaining(
-                                                        e ->
-                                                                logged.put(
-                                                                        e.getKey(),
-                                                                        e.getValue().asText())));
-                figures.add(logged);
+        try (Stream<String> lines = Files.lines(log)) {
+            for (String line : lines.filter(GovernorProcess::holdsFigures).toList()) {
+                figures.add(keysAndValues(line, json));
             }
         } catch (IOException e) {
             figures.add(Map.of("unreadable", String.valueOf(e.getMessage())));
@@ -166,9 +162,29 @@
         return figures;
     }
 
-    /** Lines of its log that hold a text. */
+    private static boolean holdsFigures(String line) {
+        return line.contains(FIGURES_EVENT) || line.contains(FRONT_EVENT);
+    }
+
+    private static Map<String, String> keysAndValues(String line, ObjectMapper json)
+            throws IOException {
+        Map<String, String> logged = new LinkedHashMap<>();
+        json.readTree(line)
+                .path("kvpList")
+                .forEach(
+                        pair ->
+                                pair.fields()
+                                        .forEachRemaining(
+                                                field ->
+                                                        logged.put(
+                                                                field.getKey(),
+                                                                field.getValue().asText())));
+        return logged;
+    }
+
+    /** Returns the number of lines of its log that hold a text; 0 if the log can't be read. */
     long countLogged(String text) {
-        try (var lines = Files.lines(log)) {
+        try (Stream<String> lines = Files.lines(log)) {
             return lines.filter(line -> line.contains(text)).count();
         } catch (IOException e) {
             return 0;
