--- a/src/main/java/sprucelanding/simulation/scenario/GovernorBenchmark.java
+++ b/src/main/java/sprucelanding/simulation/scenario/GovernorBenchmark.java
@@ -5,79 +5,47 @@
 import java.util.List;
 
 /**
- * A governor at a size: a day of one governor, with replicas that come and go, or without any
- * trouble.
+ * Measures one governor with a fleet of a given size, while the load of endpoints changes so that
+ * weights do.
  */
 public final class GovernorBenchmark {
-    private static final double REQUESTS_PER_SECOND =
-            150; // few: each proxy keeps a connection for each replica it has met
+    /** Few, as each proxy keeps a connection to each endpoint that it has used. */
+    private static final double REQUESTS_PER_SECOND = 150;
+
+    /** Load as a share of the capacity of the fleet, with endpoints of one core. */
+    private static final double LOAD = 0.5;
+
+    private static final double READ_STOP_AT_MILLIS = 3000;
+
     private final int proxies;
     private final int endpoints;
     private final double durationMillis;
-    private final int slowEndpoints;
+    private final int stoppedProxies;
     private final double deviceShare;
 
     /**
-     * @param slow proxies that read nothing from the third second on
-     * @param devices share of the proxies that take NETCONF edits
+     * Creates a benchmark.
+     *
+     * @param stoppedProxies proxies that read nothing from the third second on
+     * @param deviceShare share of the proxies that take NETCONF edits
      */
     public GovernorBenchmark(
             int proxies,
             int endpoints,
             double durationMillis,
-            int slowEndpoints,
+            int stoppedProxies,
             double deviceShare) {
-        this.deviceShare = deviceShare;
         this.proxies = proxies;
         this.endpoints = endpoints;
         this.durationMillis = durationMillis;
-        this.slowEndpoints = slowEndpoints;
+        this.stoppedProxies = stoppedProxies;
+        this.deviceShare = deviceShare;
     }
 
-    /** The day's table, with the governor's own figures below. */
+    /** Runs it and returns the report of the scenario, with the governor's own figures. */
     public String run() throws IOException, InterruptedException {
-        List<Scenario.Fault> faults = new ArrayList<>();
-        faults.add(
-                new Scenario.Fault(
-                        8000, durationMillis, "neighbour", 0.3, 0.6, null)); // so that weights move
-        if (slowEndpoints > 0) {
-            faults.add(
-                    new Scenario.Fault(
-                            3000,
-                            durationMillis,
-                            "readsNothing",
-                            (double) slowEndpoints / proxies,
-                            1,
-                            null));
-            faults.add(new Scenario.Fault(6000, 5000, "crash", 0.05, 1, null));
-        }
-        double work = 0.5 * endpoints / REQUESTS_PER_SECOND * 1000; // half of what the fleet can do
-        Scenario scenario =
-                new Scenario(
-                        "measure " + proxies + " x " + endpoints,
-                        3,
-                        durationMillis,
-                        List.of("north", "middle", "south"),
-                        List.of(
-                                new Scenario.EndpointKind("fast", 1, 1.2, 4, 16, 0.5),
-                                new Scenario.EndpointKind("slow", 1, 0.7, 4, 16, 0.5)),
-                        List.of(
-                                new Scenario.RequestClassSettings(
-                                        "read", 0.75, work, 2500, 5000, 1, "safe", List.of()),
-                                new Scenario.RequestClassSettings(
-                                        "sign", 0.25, work, 2500, 5000, 2, "once", List.of())),
-                        new Scenario.EndpointSettings(endpoints, 0.25, 12_000, 600),
-                        new Scenario.ProxySettings(proxies, 6, deviceShare, 0, "two", 5, 4000),
-                        new Scenario.GovernorSettings(
-                                1, 30_000, 6, 60_000, 0, 10_000, false, 1500, 64, false),
-                        null,
-                        REQUESTS_PER_SECOND,
-                        new Scenario.ClientSettings(2, 100, 0.8),
-                        new Scenario.DiscoverySettings(2000, 500),
-                        new Scenario.RuleSettings(4000, 6000, 3, 2000),
-                        faults);
         return new ScenarioRunner(
-                        scenario,
+                        scenario(),
                         durationMillis,
                         ScenarioRunner.TableSource.governors,
                         null,
@@ -86,4 +54,53 @@
                 .run()
                 .table();
     }
+
+    private List<Scenario.Fault> faults() {
+        List<Scenario.Fault> faults = new ArrayList<>();
+        faults.add(fault(8000, durationMillis, FaultKind.ENDPOINT_CONTENTION, 0.3, 0.6));
+        if (stoppedProxies > 0) {
+            double share = (double) stoppedProxies / proxies;
+            faults.add(
+                    fault(
+                            READ_STOP_AT_MILLIS,
+                            durationMillis,
+                            FaultKind.PROXY_READ_STOP,
+                            share,
+                            1));
+            faults.add(fault(6000, 5000, FaultKind.ENDPOINT_CRASH, 0.05, 1));
+        }
+        return faults;
+    }
+
+    private static Scenario.Fault fault(
+            double at, double durationMillis, FaultKind kind, double part, double size) {
+        return new Scenario.Fault(at, durationMillis, kind.word(), part, size, null);
+    }
+
+    private Scenario scenario() {
+        double work = LOAD * endpoints / REQUESTS_PER_SECOND * 1000;
+        return new Scenario(
+                "measure " + proxies + " x " + endpoints,
+                3,
+                durationMillis,
+                List.of("north", "middle", "south"),
+                List.of(
+                        new Scenario.EndpointKind("fast", 1, 1.2, 4, 16, 0.5),
+                        new Scenario.EndpointKind("slow", 1, 0.7, 4, 16, 0.5)),
+                List.of(
+                        new Scenario.RequestClassSettings(
+                                "read", 0.75, work, 2500, 5000, 1, "safe", List.of()),
+                        new Scenario.RequestClassSettings(
+                                "sign", 0.25, work, 2500, 5000, 2, "once", List.of())),
+                new Scenario.EndpointSettings(endpoints, 0.25, 12_000, 600),
+                new Scenario.ProxySettings(proxies, 6, deviceShare, 0, "two", 5, 4000),
+                new Scenario.GovernorSettings(
+                        1, 30_000, 6, 60_000, 0, 10_000, false, 1500, 64, false),
+                null,
+                REQUESTS_PER_SECOND,
+                new Scenario.ClientSettings(2, 100, 0.8),
+                new Scenario.DiscoverySettings(2000, 500),
+                new Scenario.RuleSettings(4000, 6000, 3, 2000),
+                faults());
+    }
 }
--- a/src/main/java/sprucelanding/simulation/scenario/GroundTruth.java
+++ b/src/main/java/sprucelanding/simulation/scenario/GroundTruth.java
@@ -4,11 +4,11 @@
 import sprucelanding.replay.capture.RecordingInput;
 import sprucelanding.simulation.rules.TraceEvent;
 
-/** What stand-ins know of the txns, as a capture of its own. */
+/** Writes what simulated members know of the requests as a capture of its own. */
 public final class GroundTruth {
     private GroundTruth() {}
 
-    /** What is not about a txn is left out. */
+    /** Appends an event to a capture; events that aren't about a request are left out. */
     public static void record(TraceEvent event, RecordingInput.Sink sink) {
         if (event instanceof TraceEvent.RequestArrived arrived) {
             sink.append(
--- a/src/test/java/sprucelanding/simulation/scenario/HandoverTest.java
+++ b/src/test/java/sprucelanding/simulation/scenario/HandoverTest.java
@@ -8,8 +8,8 @@
 import sprucelanding.config.records.Records;
 
 /**
- * Governors as processes that are killed, stopped, paused and cut off while they share a fleet; the
- * rules and the one voice are judged.
+ * Governors as processes that are killed, stopped, paused and cut off while they share a fleet; all
+ * rules are checked, that of one governor for each proxy among them.
  */
 class HandoverTest {
     private static final String SCENARIO =
--- a/src/test/java/sprucelanding/simulation/scenario/LoadGeneratorTest.java
+++ b/src/test/java/sprucelanding/simulation/scenario/LoadGeneratorTest.java
@@ -14,60 +14,10 @@
 import sprucelanding.runtime.eventloop.HttpParser;
 import sprucelanding.runtime.eventloop.TcpConnection;
 
-/** A proxy that stalls: all that was to come meanwhile waits, and its wait counts. */
+/** A proxy that stalls: all requests that are due meanwhile wait, and their wait counts. */
 class LoadGeneratorTest {
-    @Test
-    @Timeout(30)
-    void latencyCountsEveryRequestDueDuringAStall() throws Exception {
-        EventLoop loop = EventLoop.start("proxy");
-        double[] stallEnds = {0};
-        int port =
-                loop.localPort(
-                        loop.listen(
-                                new InetSocketAddress("127.0.0.1", 0),
-                                64,
-                                channel ->
-                                        loop.register(
-                                                channel,
-                                                65_536,
-                                                new TcpConnection.Listener() {
-                                                    private TcpConnection own;
-                                                    private final HttpParser http =
-                                                            new HttpParser(
-                                                                    request ->
-                                                                            loop.scheduleAt(
-                                                                                    stallEnds[0],
-                                                                                    () ->
-                                                                                            own
-                                                                                                    .write(
-                                                                                                            HttpParser
-                                                                                                                    .response(
-                                                                                                                            200))));
-
-                                                    @Override
-                                                    public void onReceived(
-                                                            TcpConnection connection,
-                                                            ByteBuffer input)
-                                                            throws IOException {
-                                                        own = connection;
-                                                        http.parse(input);
-                                                    }
-
-                                                    @Override
-                                                    public void onClosed(
-                                                            TcpConnection connection,
-                                                            String reason) {}
-                                                })));
-        double startedAt = EventLoop.nowMillis();
-        loop.tryExecute(
-                () ->
-                        loop.scheduleAt(
-                                startedAt + 500,
-                                () -> stallEnds[0] = EventLoop.nowMillis() + 1000));
-        Scenario scenario =
-                Records.parse(
-                        "load",
-                        """
+    private static final String SCENARIO =
+            """
                 name: "load"
                 lasts: 2s
                 zones: ["here"]
@@ -81,16 +31,65 @@
                 rules: {}
                 txns: 200/s
                 troubles: []
-                """,
-                        Scenario.SCHEMA,
-                        Scenario.DEFINITION,
-                        Scenario.class);
+                """;
+
+    /** A proxy that answers at once, but for one stall. Used on its loop only. */
+    private static final class StallingProxy {
+        private final EventLoop loop = EventLoop.start("proxy");
+        private double stallEnds;
+
+        int listen() throws IOException {
+            return loop.localPort(
+                    loop.listen(
+                            new InetSocketAddress("127.0.0.1", 0),
+                            64,
+                            channel -> loop.register(channel, 65_536, new ProxyConnection())));
+        }
+
+        void scheduleStall(double at, double durationMillis) {
+            loop.tryExecute(
+                    () ->
+                            loop.scheduleAt(
+                                    at, () -> stallEnds = EventLoop.nowMillis() + durationMillis));
+        }
+
+        private final class ProxyConnection implements TcpConnection.Listener {
+            private TcpConnection own;
+            private final HttpParser http =
+                    new HttpParser(request -> loop.scheduleAt(stallEnds, this::answer));
+
+            private void answer() {
+                own.write(HttpParser.response(200));
+            }
+
+            @Override
+            public void onReceived(TcpConnection connection, ByteBuffer input) throws IOException {
+                own = connection;
+                http.parse(input);
+            }
+
+            @Override
+            public void onClosed(TcpConnection connection, String reason) {
+                // the generator closes its connections at the end
+            }
+        }
+    }
+
+    @Test
+    @Timeout(30)
+    void latencyCountsEveryRequestDueDuringAStall() throws Exception {
+        StallingProxy proxy = new StallingProxy();
+        int port = proxy.listen();
+        proxy.scheduleStall(EventLoop.nowMillis() + 500, 1000);
+        Scenario scenario =
+                Records.parse(
+                        "load", SCENARIO, Scenario.SCHEMA, Scenario.DEFINITION, Scenario.class);
         StringBuilder table = new StringBuilder();
         Histogram latencies =
                 new LoadGenerator(scenario, List.of(new InetSocketAddress("127.0.0.1", port)), 200)
                         .run(2000, table)
                         .get(0);
-        loop.close();
+        proxy.loop.close();
         long stalled = latencies.getTotalCount() - latencies.getCountBetweenValues(0, 100_000);
         // 200 a second come in a second of stall; those of its last tenth wait for less than 100 ms
         assertTrue(stalled > 120, table + "stalled: " + stalled);
--- a/src/test/java/sprucelanding/simulation/scenario/ScenarioTest.java
+++ b/src/test/java/sprucelanding/simulation/scenario/ScenarioTest.java
@@ -7,8 +7,8 @@
 import sprucelanding.config.records.Records;
 
 /**
- * A short bad day on real sockets with governors as processes; only the rules are judged, never the
- * speed.
+ * A short scenario on real sockets with governors as processes; only the rules are checked, never
+ * the speed.
  */
 class ScenarioTest {
     private static final String SCENARIO =
