--- a/src/main/java/sprucelanding/simulation/experiment/Charts.java
+++ b/src/main/java/sprucelanding/simulation/experiment/Charts.java
@@ -16,15 +16,15 @@
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
 
-/** Time lines of trials, as SVG and PNG. */
+/** Draws time series of trials, as SVG and PNG files. */
 final class Charts {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 360;
-    private static final double WINDOW = 5;
+    private static final double WINDOW_SECONDS = 5;
 
     private Charts() {}
 
-    /** Service by 5 s of several trials of a day, one line each. */
+    /** Draws the service by 5 s of several trials of a scenario, one line each. */
     static void service(Path folder, String name, List<JsonNode> trials) throws IOException {
         XYSeriesCollection lines = new XYSeriesCollection();
         for (JsonNode trial : trials) {
@@ -37,14 +37,19 @@
                             true);
             JsonNode windows = trial.path("windows");
             for (int i = 0; i < windows.size(); i++) {
-                line.add(i * WINDOW, windows.get(i).asDouble());
+                line.add(i * WINDOW_SECONDS, windows.get(i).asDouble());
             }
             lines.addSeries(line);
         }
         draw(folder, name + "-service", "service by 5 s (simulated)", "service", lines);
     }
 
-    /** What one trial was like, second by second: a column of its samples for each line. */
+    /**
+     * Draws columns of a trial's samples, one a second.
+     *
+     * @param names names of the columns
+     * @param from first column
+     */
     static void samples(
             Path folder,
             String name,
--- a/src/main/java/sprucelanding/simulation/experiment/FaultSearch.java
+++ b/src/main/java/sprucelanding/simulation/experiment/FaultSearch.java
@@ -1,18 +1,30 @@
 package sprucelanding.simulation.experiment;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.ToDoubleFunction;
+import sprucelanding.simulation.scenario.FaultKind;
 import sprucelanding.simulation.scenario.Scenario;
 
 /**
- * Looks for troubles on which a loss is greatest, and cuts them down to what matters. It only
- * decides what to try: the loss is asked of whoever plays the days.
+ * Draws faults to try, and reduces faults to those that cause most of a loss. What a loss is, the
+ * caller says.
  */
 final class FaultSearch {
-    private static final double KEPT_LOSS_SHARE = 0.8; // of a loss, for a trouble not to matter
+    /** A fault is left out if at least this share of the loss remains. */
+    private static final double KEPT_LOSS_SHARE = 0.8;
+
     private static final double FIRST_FAULT_MILLIS = 2000;
+    private static final double MIN_DURATION_MILLIS = 1000;
+
+    /** Faults that last no longer than this aren't shortened. */
+    private static final double SHORT_FAULT_MILLIS = 2000;
+
+    private static final double MIN_SHARE = 0.02;
+    private static final String ZONE_KIND_PREFIX = "zone";
+
     private final List<String> kinds;
     private final List<String> zones;
     private final Experiment.Search limits;
@@ -27,40 +39,52 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** One day's troubles, within the ranges. */
+    /** Draws the faults of one scenario, within the limits. */
     List<Scenario.Fault> randomFaults() {
         List<Scenario.Fault> faults = new ArrayList<>();
         int count = 1 + random.nextInt(limits.troubles());
         for (int i = 0; i < count; i++) {
             String kind = kinds.get(random.nextInt(kinds.size()));
-            boolean needsZone = kind.startsWith("zone") || kind.equals("oneSided");
             faults.add(
                     new Scenario.Fault(
                             FIRST_FAULT_MILLIS
                                     + random.nextDouble()
                                             * Math.max(1, durationMillis - FIRST_FAULT_MILLIS),
-                            1000 + random.nextDouble() * (limits.lasts() - 1000),
+                            MIN_DURATION_MILLIS
+                                    + random.nextDouble() * (limits.lasts() - MIN_DURATION_MILLIS),
                             kind,
-                            0.02 + random.nextDouble() * (limits.part() - 0.02),
+                            MIN_SHARE + random.nextDouble() * (limits.part() - MIN_SHARE),
                             randomSize(kind),
-                            needsZone ? zones.get(random.nextInt(zones.size())) : null));
+                            needsZone(kind) ? zones.get(random.nextInt(zones.size())) : null));
         }
-        faults.sort(java.util.Comparator.comparingDouble(Scenario.Fault::at));
+        faults.sort(Comparator.comparingDouble(Scenario.Fault::at));
         return List.copyOf(faults);
     }
 
+    private static boolean needsZone(String kind) {
+        return kind.startsWith(ZONE_KIND_PREFIX)
+                || kind.equals(FaultKind.ENDPOINT_UNREACHABLE_FROM_ZONE.word());
+    }
+
+    /** Draws a size in the unit of the kind. */
     private double randomSize(String kind) {
         double fraction = random.nextDouble();
-        return switch (kind) {
-            case "neighbour", "errors" -> 0.1 + 0.85 * fraction;
-            case "burst" -> 1 + fraction * Math.min(1, limits.size() - 1);
-            default -> 1 + fraction * Math.max(0, limits.size() - 1);
-        };
+        if (kind.equals(FaultKind.ENDPOINT_CONTENTION.word())
+                || kind.equals(FaultKind.ENDPOINT_ERRORS.word())) {
+            return 0.1 + 0.85 * fraction;
+        }
+        if (kind.equals(FaultKind.REQUEST_BURST.word())) {
+            return 1 + fraction * Math.min(1, limits.size() - 1);
+        }
+        return 1 + fraction * Math.max(0, limits.size() - 1);
     }
 
     /**
-     * Leaves out one trouble after the other, and shortens those that stay, as long as most of the
-     * loss stays too.
+     * Leaves out one fault after the other, and halves the duration of those that remain, as long
+     * as most of the loss remains, too.
+     *
+     * @param loss loss by all faults
+     * @param lossOf returns the loss by some faults
      */
     static List<Scenario.Fault> reduce(
             List<Scenario.Fault> faults,
@@ -77,19 +101,22 @@
         for (int i = 0; i < best.size(); i++) {
             Scenario.Fault fault = best.get(i);
             List<Scenario.Fault> shorter = new ArrayList<>(best);
-            shorter.set(
-                    i,
-                    new Scenario.Fault(
-                            fault.at(),
-                            fault.lasts() / 2,
-                            fault.what(),
-                            fault.part(),
-                            fault.size(),
-                            fault.zone()));
-            if (fault.lasts() > 2000 && lossOf.applyAsDouble(shorter) >= KEPT_LOSS_SHARE * loss) {
+            shorter.set(i, halved(fault));
+            if (fault.lasts() > SHORT_FAULT_MILLIS
+                    && lossOf.applyAsDouble(shorter) >= KEPT_LOSS_SHARE * loss) {
                 best = shorter;
             }
         }
         return best;
     }
+
+    private static Scenario.Fault halved(Scenario.Fault fault) {
+        return new Scenario.Fault(
+                fault.at(),
+                fault.lasts() / 2,
+                fault.what(),
+                fault.part(),
+                fault.size(),
+                fault.zone());
+    }
 }
--- a/src/main/java/sprucelanding/simulation/experiment/PairedDifference.java
+++ b/src/main/java/sprucelanding/simulation/experiment/PairedDifference.java
@@ -5,10 +5,17 @@
 import org.apache.commons.math3.stat.correlation.SpearmansCorrelation;
 
 /**
- * Differences of pairs: their mean, and the half width of its 95% interval by Student's t; infinite
- * for fewer than two.
+ * Differences of pairs.
+ *
+ * @param pairs number of pairs
+ * @param mean mean difference
+ * @param confidenceHalfWidth half width of the 95% interval of the mean by Student's t
+ *     distribution; infinite for fewer than two pairs
  */
 public record PairedDifference(int pairs, double mean, double confidenceHalfWidth) {
+    private static final double UPPER_QUANTILE = 0.975;
+
+    /** Returns the mean of differences and its interval. */
     public static PairedDifference of(List<Double> differences) {
         int count = differences.size();
         double mean =
@@ -25,16 +32,16 @@
         return new PairedDifference(
                 count,
                 mean,
-                new TDistribution(count - 1).inverseCumulativeProbability(0.975)
+                new TDistribution(count - 1).inverseCumulativeProbability(UPPER_QUANTILE)
                         * Math.sqrt(variance / count));
     }
 
-    /** Whether it is more than chance may have made it. */
+    /** Returns whether the interval excludes 0. */
     public boolean isSignificant() {
         return Math.abs(mean) > confidenceHalfWidth;
     }
 
-    /** Spearman's rank correlation of two lists of the same length, three at least. */
+    /** Returns Spearman's rank correlation of two lists of the same length, three at least. */
     public static double rankCorrelation(double[] first, double[] second) {
         return new SpearmansCorrelation().correlation(first, second);
     }
--- a/src/main/java/sprucelanding/simulation/experiment/ResultStore.java
+++ b/src/main/java/sprucelanding/simulation/experiment/ResultStore.java
@@ -12,13 +12,22 @@
 import org.h2.mvstore.MVStore;
 import org.h2.mvstore.MVStoreException;
 
-/** Results in a file, by the key of their trial; each is safe on the disk once put returns. */
+/**
+ * Results of trials in a file of the database H2's MVStore, by the key of their trial. A result is
+ * safe on the disk once {@link #put} returns. Safe for use by several threads.
+ */
 public final class ResultStore implements AutoCloseable {
+    private static final String MAP_NAME = "trials";
+
     private final ObjectMapper json = new ObjectMapper();
     private final MVStore store;
     private final MVMap<String, String> resultsByKey;
 
-    /** Throws IOException if the file is not to be had, or in use. */
+    /**
+     * Opens a store, or creates it.
+     *
+     * @throws IOException if the file can't be opened, or is in use
+     */
     public ResultStore(Path file) throws IOException {
         try {
             store =
@@ -30,19 +39,21 @@
         } catch (MVStoreException e) {
             throw new IOException(file + ": " + e.getMessage(), e);
         }
-        resultsByKey = store.openMap("trials");
+        resultsByKey = store.openMap(MAP_NAME);
     }
 
     boolean has(String key) {
         return resultsByKey.containsKey(key);
     }
 
+    /** Stores a result and writes it to the disk. */
     synchronized void put(String key, ObjectNode result) {
         resultsByKey.put(key, result.toString());
         store.commit();
         store.sync();
     }
 
+    /** Returns the result of a trial, which must have one. */
     JsonNode get(String key) throws IOException {
         try {
             return json.readTree(resultsByKey.get(key));
@@ -52,7 +63,7 @@
         }
     }
 
-    /** All that there are. */
+    /** Returns all results, in order of their keys. */
     public List<JsonNode> allResults() throws IOException {
         List<JsonNode> collected = new ArrayList<>();
         for (String key : resultsByKey.keySet()) {
--- a/src/main/java/sprucelanding/simulation/experiment/Trial.java
+++ b/src/main/java/sprucelanding/simulation/experiment/Trial.java
@@ -14,7 +14,12 @@
 import sprucelanding.simulation.scenario.Scenario;
 
 /**
- * One emulated day of an experiment: what it is made of, by its whole text, and what came of it.
+ * One emulated run of an experiment.
+ *
+ * @param scenarioText whole text of the scenario
+ * @param overlayName file of the overlay; null for none
+ * @param overlay whole text of the overlay; null for none
+ * @param durationMillis time that the scenario is played for
  */
 record Trial(
         String scenarioName,
@@ -27,8 +32,11 @@
         long seed,
         double durationMillis) {
     private static final ObjectMapper JSON = new ObjectMapper();
+    private static final int KEY_BYTES = 12;
+    private static final double WINDOW_SCALE = 1e4;
+    private static final double SAMPLE_SCALE = 1e3;
 
-    /** The same trial has the same key, whatever its files are named; another text has another. */
+    /** Returns a key that depends on the texts of the trial and not on the names of its files. */
     String key() {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -43,12 +51,13 @@
                 digest.update(part.getBytes(StandardCharsets.UTF_8));
                 digest.update((byte) 0);
             }
-            return HexFormat.of().formatHex(digest.digest(), 0, 12);
+            return HexFormat.of().formatHex(digest.digest(), 0, KEY_BYTES);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
     }
 
+    /** Plays the trial in the emulator and returns its result as it is stored. */
     ObjectNode run() throws InvalidRecordsException {
         Scenario seeded = scenario.withSeed(seed);
         Emulation.Result result =
@@ -58,24 +67,7 @@
                         Emulation.governorConfigs(seeded, overlayName, overlay),
                         policy,
                         Emulation.EmulationListener.NONE);
-        ObjectNode node =
-                JSON.createObjectNode()
-                        .put("day", scenarioName)
-                        .put("setting", setting)
-                        .put("policy", policy.name())
-                        .put("seed", seed)
-                        .put("lasts", durationMillis)
-                        .put("service", result.service())
-                        .put("worst10s", result.worstTenSeconds())
-                        .put("txns", result.requests())
-                        .put("tries", result.attempts())
-                        .put("inForceP50", result.acknowledgementP50Millis())
-                        .put("inForceP99", result.acknowledgementP99Millis())
-                        .put("bugs", result.internalErrors())
-                        .put("hash", Long.toHexString(result.hash()))
-                        .put("tookMs", result.wallMillis())
-                        .put("simulated", true)
-                        .put("overlay", overlay == null ? "" : overlay);
+        ObjectNode node = figures(result);
         node.set("products", result.outcome().figures().path("products"));
         ArrayNode broken = node.putArray("broken");
         result.verdicts().stream()
@@ -84,17 +76,39 @@
                 .forEach(broken::add);
         ArrayNode windows = node.putArray("windows");
         for (double window : result.serviceByWindow()) {
-            windows.add(Math.round(window * 1e4) / 1e4);
+            windows.add(rounded(window, WINDOW_SCALE));
         }
         ArrayNode samples = node.putArray("samples");
-        result.samples()
-                .forEach(
-                        sample -> {
-                            ArrayNode row = samples.addArray();
-                            for (double value : sample) {
-                                row.add(Math.round(value * 1e3) / 1e3);
-                            }
-                        });
+        for (double[] sample : result.samples()) {
+            ArrayNode row = samples.addArray();
+            for (double value : sample) {
+                row.add(rounded(value, SAMPLE_SCALE));
+            }
+        }
         return node;
     }
+
+    private ObjectNode figures(Emulation.Result result) {
+        return JSON.createObjectNode()
+                .put("day", scenarioName)
+                .put("setting", setting)
+                .put("policy", policy.name())
+                .put("seed", seed)
+                .put("lasts", durationMillis)
+                .put("service", result.service())
+                .put("worst10s", result.worstTenSeconds())
+                .put("txns", result.requests())
+                .put("tries", result.attempts())
+                .put("inForceP50", result.acknowledgementP50Millis())
+                .put("inForceP99", result.acknowledgementP99Millis())
+                .put("bugs", result.internalErrors())
+                .put("hash", Long.toHexString(result.hash()))
+                .put("tookMs", result.wallMillis())
+                .put("simulated", true)
+                .put("overlay", overlay == null ? "" : overlay);
+    }
+
+    private static double rounded(double value, double scale) {
+        return Math.round(value * scale) / scale;
+    }
 }
--- a/src/main/java/sprucelanding/simulation/experiment/package-info.java
+++ b/src/main/java/sprucelanding/simulation/experiment/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Experiments: days x settings x seeds in virtual time, on all cores, kept in a store with the text
- * of their settings, compared in pairs with intervals, and drawn; and a search for the day on which
- * a setting loses most.
+ * Experiments in virtual time: scenarios x settings x seeds, run on several threads, stored with
+ * the text of their settings, compared in pairs with confidence intervals, and drawn; and a search
+ * for the faults on which a setting loses most.
  */
 package sprucelanding.simulation.experiment;
--- a/src/test/java/sprucelanding/simulation/experiment/ExperimentTest.java
+++ b/src/test/java/sprucelanding/simulation/experiment/ExperimentTest.java
@@ -17,7 +17,7 @@
 import sprucelanding.config.records.InvalidRecordsException;
 import sprucelanding.simulation.scenario.Scenario;
 
-/** Stories of experiments. */
+/** Experiments from their file to table, charts and search. */
 @Timeout(60)
 class ExperimentTest {
     @TempDir private Path folder;
