--- /dev/null
+++ b/src/main/java/sprucelanding/simulation/expectation/ContradictionFinder.java
@@ -0,0 +1,89 @@
+package sprucelanding.simulation.expectation;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.Set;
+import sprucelanding.simulation.expectation.Expectations.Expectation;
+
+/**
+ * Finds expectations that contradict each other: whose bounds on the same thing leave no room, or
+ * of which one failed in each sequence in which the other held.
+ */
+final class ContradictionFinder {
+    /** By the name of an expectation, the sequences in which it held. */
+    private final Map<String, Set<String>> heldIn = new HashMap<>();
+
+    /** By the name of an expectation, the sequences in which it failed. */
+    private final Map<String, Set<String>> failedIn = new HashMap<>();
+
+    /** Takes the result of an expectation in a sequence. */
+    void add(Expectation expectation, EventSequence sequence, CheckResult result) {
+        if (result.isApplicable()) {
+            Map<String, Set<String>> sequences = result.hasFailed() ? failedIn : heldIn;
+            sequences
+                    .computeIfAbsent(expectation.name(), key -> new HashSet<>())
+                    .add(sequence.describe());
+        }
+    }
+
+    /** Returns a line for each pair that contradict each other. */
+    List<String> contradictions(List<Expectation> expectations) {
+        List<String> lines = new ArrayList<>();
+        for (int i = 0; i < expectations.size(); i++) {
+            for (int j = i + 1; j < expectations.size(); j++) {
+                Expectation first = expectations.get(i);
+                Expectation second = expectations.get(j);
+                contradiction(first, second)
+                        .ifPresent(reason -> lines.add(names(first, second) + reason));
+            }
+        }
+        return lines;
+    }
+
+    private static String names(Expectation first, Expectation second) {
+        return "\"" + first.name() + "\" and \"" + second.name() + "\": ";
+    }
+
+    private Optional<String> contradiction(Expectation first, Expectation second) {
+        if (haveSameSubject(first, second) && leaveNoRoom(first, second)) {
+            return Optional.of(
+                    "at least "
+                            + Math.max(first.atLeast(), second.atLeast())
+                            + " and at most "
+                            + Math.min(first.atMost(), second.atMost())
+                            + " of the same");
+        }
+        if (first.events().equals(second.events())
+                && failedWhereverHeld(first, second)
+                && failedWhereverHeld(second, first)) {
+            return Optional.of("wherever one held the other failed");
+        }
+        return Optional.empty();
+    }
+
+    private static boolean haveSameSubject(Expectation first, Expectation second) {
+        boolean sameRequestClass =
+                first.product() == null
+                        || second.product() == null
+                        || first.product().equals(second.product());
+        return sameRequestClass
+                && first.expect().equals(second.expect())
+                && Objects.equals(first.zone(), second.zone())
+                && first.events().equals(second.events());
+    }
+
+    private static boolean leaveNoRoom(Expectation first, Expectation second) {
+        return first.atLeast() > second.atMost() || second.atLeast() > first.atMost();
+    }
+
+    private boolean failedWhereverHeld(Expectation failing, Expectation holding) {
+        Set<String> held = heldIn.getOrDefault(holding.name(), Set.of());
+        Set<String> failed = failedIn.getOrDefault(failing.name(), Set.of());
+        return !held.isEmpty() && failed.containsAll(held);
+    }
+}
--- /dev/null
+++ b/src/main/java/sprucelanding/simulation/expectation/FlowProxy.java
@@ -0,0 +1,111 @@
+package sprucelanding.simulation.expectation;
+
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import sprucelanding.control.delivery.ProxyStream;
+import sprucelanding.control.delivery.ResourceName;
+import sprucelanding.control.delivery.ResourceType;
+import sprucelanding.control.delivery.RoutingResource;
+
+/** A proxy of a flow: the resources that it holds, and the shares that they make of its traffic. */
+final class FlowProxy {
+    private final int number;
+    private final int zone;
+    private ProxyStream stream;
+
+    /** By table, the weights of its endpoints. */
+    private final Map<Integer, Map<Long, Integer>> tables = new TreeMap<>();
+
+    private final Map<Integer, RoutingResource.RouteRule> rulesByRequestClass = new TreeMap<>();
+    private final Map<ResourceName, String> heldVersions = new LinkedHashMap<>();
+
+    FlowProxy(int number, int zone) {
+        this.number = number;
+        this.zone = zone;
+    }
+
+    int number() {
+        return number;
+    }
+
+    int zone() {
+        return zone;
+    }
+
+    /** Returns the stream to the present governor. */
+    ProxyStream stream() {
+        return stream;
+    }
+
+    /** Opens a stream to a governor that has just started. */
+    ProxyStream openStream() {
+        stream = new ProxyStream(number, ProxyStream.UpdateMode.CHANGES, this);
+        return stream;
+    }
+
+    /** Returns the versions of the resources that it holds. */
+    Map<ResourceName, String> heldVersions() {
+        return Map.copyOf(heldVersions);
+    }
+
+    Set<Integer> tableNumbers() {
+        return tables.keySet();
+    }
+
+    /** Takes a resource in place of an older version. */
+    void take(RoutingResource resource) {
+        heldVersions.put(resource.name(), resource.version());
+        int tableNumber = resource.name().table();
+        switch (resource.name().type()) {
+            case CLUSTER -> tables.computeIfAbsent(tableNumber, key -> new TreeMap<>());
+            case LINE -> takeEntry(tableNumber, resource.entries().get(0));
+            case ROUTE -> {
+                rulesByRequestClass.clear();
+                resource.rules()
+                        .forEach(rule -> rulesByRequestClass.put(rule.requestClass(), rule));
+            }
+            default -> {
+                // nothing that routes
+            }
+        }
+    }
+
+    private void takeEntry(int tableNumber, RoutingResource.EndpointEntry entry) {
+        Map<Long, Integer> table = tables.computeIfAbsent(tableNumber, key -> new TreeMap<>());
+        if (entry.draining()) {
+            table.remove(entry.endpointId());
+        } else {
+            table.put(entry.endpointId(), entry.weight());
+        }
+    }
+
+    /** Drops a resource that was removed. */
+    void drop(ResourceName name) {
+        heldVersions.remove(name);
+        if (name.type() == ResourceType.LINE) {
+            tables.getOrDefault(name.table(), new TreeMap<>()).remove(name.endpointId());
+        } else if (name.type() == ResourceType.CLUSTER) {
+            tables.remove(name.table());
+        }
+    }
+
+    /** Returns the shares of a request class by endpoint; they add up to 1, or there are none. */
+    Map<Long, Double> trafficShares(int requestClass) {
+        RoutingResource.RouteRule rule = rulesByRequestClass.get(requestClass);
+        Map<Long, Integer> weights =
+                rule == null ? Map.of() : tables.getOrDefault(rule.table(), Map.of());
+        double sum = weights.values().stream().mapToInt(weight -> weight).sum();
+        Map<Long, Double> shares = new HashMap<>();
+        weights.forEach((id, weight) -> shares.put(id, weight / sum));
+        return shares;
+    }
+
+    /** Returns the share of a request class that it admits; 1 until it has a rule. */
+    double admittedShare(int requestClass) {
+        RoutingResource.RouteRule rule = rulesByRequestClass.get(requestClass);
+        return rule == null ? 1 : Math.min(1, rule.admittedLevel());
+    }
+}
--- /dev/null
+++ b/src/main/java/sprucelanding/simulation/expectation/VirtualClock.java
@@ -0,0 +1,50 @@
+package sprucelanding.simulation.expectation;
+
+import java.util.PriorityQueue;
+
+/** Virtual time, and the tasks that are due at some time. Times are in milliseconds. */
+final class VirtualClock {
+    private static final double START_MILLIS = 1_000_000;
+
+    /** A task; those of the same time run in the order in which they were scheduled. */
+    private record ScheduledTask(double at, long sequence, Runnable task)
+            implements Comparable<ScheduledTask> {
+        @Override
+        public int compareTo(ScheduledTask other) {
+            return at != other.at
+                    ? Double.compare(at, other.at)
+                    : Long.compare(sequence, other.sequence);
+        }
+    }
+
+    private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>();
+    private long sequence;
+    private double now = START_MILLIS;
+
+    double now() {
+        return now;
+    }
+
+    /** Returns the next number of the sequence that orders tasks. */
+    long nextSequence() {
+        long next = sequence;
+        sequence++;
+        return next;
+    }
+
+    void schedule(double time, Runnable task) {
+        tasks.add(new ScheduledTask(time, nextSequence(), task));
+    }
+
+    /** Runs the tasks that are due within some time, and {@code afterEach} after each of them. */
+    void advance(double durationMillis, Runnable afterEach) {
+        double end = now + durationMillis;
+        while (!tasks.isEmpty() && tasks.peek().at <= end) {
+            ScheduledTask next = tasks.poll();
+            now = Math.max(now, next.at);
+            next.task.run();
+            afterEach.run();
+        }
+        now = end;
+    }
+}
--- a/src/test/java/sprucelanding/simulation/expectation/ExpectationCheckerTest.java
+++ b/src/test/java/sprucelanding/simulation/expectation/ExpectationCheckerTest.java
@@ -4,12 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import sprucelanding.config.records.Records;
 import sprucelanding.simulation.emulator.Emulation;
 import sprucelanding.simulation.scenario.Scenario;
 
-/** What staff expect, of a good fleet and of broken ones. */
+/** Expectations of healthy fleets and of broken ones. */
 class ExpectationCheckerTest {
     private static final String FLEET =
             """
@@ -139,7 +140,7 @@
         assertTrue(
                 outcome.contradictions().get(0).contains("most north")
                         && outcome.contradictions().get(0).contains("little north"));
-        assertEquals(java.util.List.of("nothing struck"), outcome.neverApplied());
+        assertEquals(List.of("nothing struck"), outcome.neverApplied());
         String why =
                 assertThrows(
                                 IllegalArgumentException.class,
