--- a/src/test/java/sprucelanding/recorded/Recorded.java
+++ b/src/test/java/sprucelanding/recorded/Recorded.java
@@ -26,12 +26,14 @@
 
     private Recorded() {}
 
-    /** The recorded file of that name, relative to the folder of recordings. */
+    /** Returns a recorded file, by its name relative to the folder of recordings. */
     public static Path file(String name) {
         return FOLDER.resolve(name);
     }
 
-    /** A copy that only its owner may use, as files with secrets have to be. */
+    /**
+     * Copies a recorded file so that only its owner may use it, as files with secrets have to be.
+     */
     public static Path privateCopy(String name, Path folder) throws IOException {
         Path copy = folder.resolve(file(name).getFileName());
         Files.copy(file(name), copy);
@@ -50,7 +52,7 @@
         assertEquals(Files.readString(file(name)), actual, name);
     }
 
-    /** What the action prints to standard output, and its result in a last line. */
+    /** Returns what an action prints to standard output, and its result in a last line. */
     public static String printed(Callable<Integer> action) throws Exception {
         PrintStream before = System.out;
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
@@ -64,7 +66,7 @@
         return printed.toString(StandardCharsets.UTF_8) + "exit code " + result + "\n";
     }
 
-    /** Whether this run records instead of comparing. */
+    /** Returns whether this run records instead of comparing. */
     public static boolean isRecording() {
         return RECORDING_ENABLED;
     }
--- a/src/test/java/sprucelanding/testing/Recording.java
+++ b/src/test/java/sprucelanding/testing/Recording.java
@@ -26,7 +26,7 @@
     private final List<String> lines = new ArrayList<>();
 
     /**
-     * @param name of the file in the folder of recordings, without its ending
+     * @param name name of the file in the folder of recordings, without its ending
      */
     public Recording(String name) {
         file = FOLDER.resolve(name + ".txt");
@@ -47,7 +47,7 @@
         lines.add(title + " " + HexFormat.of().formatHex(bytes));
     }
 
-    /** The recorded bytes of each line with that title. */
+    /** Returns the recorded bytes of each line with a title. */
     public List<byte[]> recorded(String title) {
         return read().stream()
                 .filter(line -> line.startsWith(title + " "))
--- a/src/test/java/sprucelanding/testing/ScenarioRig.java
+++ b/src/test/java/sprucelanding/testing/ScenarioRig.java
@@ -8,7 +8,9 @@
 import io.grpc.Status;
 import io.grpc.netty.shaded.io.grpc.netty.NettyChannelBuilder;
 import io.grpc.stub.StreamObserver;
+import java.io.IOException;
 import java.net.InetSocketAddress;
+import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -38,8 +40,8 @@
 import sprucelanding.simulation.rules.EventTrace;
 
 /**
- * A governor in this process with a roster and replicas of its own, for stories told by peers over
- * sockets.
+ * A governor in this process with discovery and endpoints of its own, for tests whose peers connect
+ * over sockets.
  */
 public final class ScenarioRig implements AutoCloseable {
     public static final List<String> ZONES = List.of("north", "south");
@@ -49,26 +51,56 @@
     public final XdsFront xds;
     public final NetconfFront netconf;
     public final SimulatedDiscovery discovery;
-    public final List<SimulatedEndpoint> endpoints = new java.util.ArrayList<>();
+    public final List<SimulatedEndpoint> endpoints = new ArrayList<>();
 
-    /** With devices' own keys and pins, a NETCONF front as well; else null. */
+    /**
+     * Starts a governor that doesn't share its fleet.
+     *
+     * @param keys keys of devices, for a NETCONF front beside the xDS front; null for none
+     */
     public ScenarioRig(int endpointCount, int maxPendingStreams, DeviceKeys keys) throws Exception {
         this(endpointCount, maxPendingStreams, keys, null);
     }
 
-    /** With fellows it is one of several governors. */
+    /**
+     * Starts a governor.
+     *
+     * @param keys keys of devices, for a NETCONF front beside the xDS front; null for none
+     * @param peers the other governors of the fleet; null for none
+     */
     public ScenarioRig(
             int endpointCount, int maxPendingStreams, DeviceKeys keys, Governor.PeerSettings peers)
             throws Exception {
-        int discoveryPort = LoopbackPorts.findFree();
-        discovery =
-                new SimulatedDiscovery(
-                        loop,
-                        new InetSocketAddress("127.0.0.1", discoveryPort),
-                        ZONES,
-                        List.of("usual"),
-                        trace);
-        for (int i = 0; i < endpointCount; i++) {
+        InetSocketAddress discoveryAddress =
+                new InetSocketAddress("127.0.0.1", LoopbackPorts.findFree());
+        discovery = new SimulatedDiscovery(loop, discoveryAddress, ZONES, List.of("usual"), trace);
+        startEndpoints(endpointCount);
+        loop.tryExecute(discovery::start);
+        loop.tryExecute(() -> discovery.scheduleUpdate(endpoints, ListedEndpoint.State.READY, 0));
+        RoutingController controller = newController();
+        governor =
+                new Governor(
+                        new Governor.SiteNames(List.of("read"), ZONES, List.of("usual")),
+                        new Governor.DiscoverySettings(discoveryAddress, null, true, null),
+                        new Governor.HealthCheckSettings(true, 400),
+                        false,
+                        peers,
+                        host -> newCore(host, controller, maxPendingStreams));
+        xds = newXdsFront(governor);
+        governor.addFront(xds);
+        netconf = keys == null ? null : newNetconfFront(governor, keys);
+        if (netconf != null) {
+            governor.addFront(netconf);
+        }
+        governor.start(500);
+        xds.start();
+        if (netconf != null) {
+            netconf.start();
+        }
+    }
+
+    private void startEndpoints(int count) throws IOException {
+        for (int i = 0; i < count; i++) {
             SimulatedEndpoint endpoint =
                     new SimulatedEndpoint(
                             loop,
@@ -84,8 +116,9 @@
             endpoints.add(endpoint);
             loop.tryExecute(() -> endpoint.start(false));
         }
-        loop.tryExecute(discovery::start);
-        loop.tryExecute(() -> discovery.scheduleUpdate(endpoints, ListedEndpoint.State.READY, 0));
+    }
+
+    private static RoutingController newController() {
         RoutingController controller =
                 GovernorCore.newController(
                         1,
@@ -97,62 +130,44 @@
         controller.configureEndpointList(true, false, 0.25, 5000);
         controller.configureChannel(100, 1, 100_000, 0, 10_000);
         controller.configureReports(true, 500);
-        governor =
-                new Governor(
-                        new Governor.SiteNames(List.of("read"), ZONES, List.of("usual")),
-                        new Governor.DiscoverySettings(
-                                new InetSocketAddress("127.0.0.1", discoveryPort),
-                                null,
-                                true,
-                                null),
-                        new Governor.HealthCheckSettings(true, 400),
-                        false,
-                        peers,
-                        host ->
-                                new GovernorCore(
-                                        host,
-                                        controller,
-                                        new DirectInput(controller),
-                                        InputListener.NONE,
-                                        ZONES,
-                                        List.of("usual"),
-                                        true,
-                                        System.currentTimeMillis() - EventLoop.nowMillis(),
-                                        new Delivery(0, 10_000, 1000, 20_000, 10_000),
-                                        new StreamAdmission(maxPendingStreams, 1000, 20_000),
-                                        new LoadReportAggregator(1, 500, 10_000)));
-        xds =
-                new XdsFront(
-                        governor,
-                        governor,
-                        "here",
-                        new InetSocketAddress("127.0.0.1", 0),
-                        64 * 1024,
-                        500);
-        governor.addFront(xds);
-        netconf =
-                keys == null
-                        ? null
-                        : new NetconfFront(
-                                governor,
-                                governor,
-                                "here",
-                                new InetSocketAddress("127.0.0.1", 0),
-                                keys,
-                                "sprucelanding",
-                                64 * 1024,
-                                new NetconfFront.EditLimits(700, 2000, 3000, 8));
-        if (netconf != null) {
-            governor.addFront(netconf);
-        }
-        governor.start(500);
-        xds.start();
-        if (netconf != null) {
-            netconf.start();
-        }
+        return controller;
+    }
+
+    private static GovernorCore newCore(
+            GovernorCore.Host host, RoutingController controller, int maxPendingStreams) {
+        return new GovernorCore(
+                host,
+                controller,
+                new DirectInput(controller),
+                InputListener.NONE,
+                ZONES,
+                List.of("usual"),
+                true,
+                System.currentTimeMillis() - EventLoop.nowMillis(),
+                new Delivery(0, 10_000, 1000, 20_000, 10_000),
+                new StreamAdmission(maxPendingStreams, 1000, 20_000),
+                new LoadReportAggregator(1, 500, 10_000));
+    }
+
+    private static XdsFront newXdsFront(Governor governor) throws Exception {
+        return new XdsFront(
+                governor, governor, "here", new InetSocketAddress("127.0.0.1", 0), 64 * 1024, 500);
+    }
+
+    private static NetconfFront newNetconfFront(Governor governor, DeviceKeys keys)
+            throws Exception {
+        return new NetconfFront(
+                governor,
+                governor,
+                "here",
+                new InetSocketAddress("127.0.0.1", 0),
+                keys,
+                "sprucelanding",
+                64 * 1024,
+                new NetconfFront.EditLimits(700, 2000, 3000, 8));
     }
 
-    /** A peer that does what the story says, on an aggregated delta stream. */
+    /** A proxy that does what a test says, on an aggregated delta stream. */
     public final class XdsTestClient
             implements StreamObserver<DeltaDiscoveryResponse>, AutoCloseable {
         public final BlockingQueue<DeltaDiscoveryResponse> responses = new LinkedBlockingQueue<>();
@@ -163,14 +178,17 @@
         public final StreamObserver<DeltaDiscoveryRequest> requests =
                 AggregatedDiscoveryServiceGrpc.newStub(channel).deltaAggregatedResources(this);
 
+        /** Opens the stream. */
         public XdsTestClient(String name) {
             node = Node.newBuilder().setId(name).build();
         }
 
+        /** Returns the start of a request for a type of resources. */
         public DeltaDiscoveryRequest.Builder request(String type) {
             return DeltaDiscoveryRequest.newBuilder().setNode(node).setTypeUrl(type);
         }
 
+        /** Subscribes to all resources of the first table. */
         public void subscribeToAll() {
             requests.onNext(
                     request(ResourceEncoder.CDS_TYPE_URL).addResourceNamesSubscribe("*").build());
@@ -186,6 +204,7 @@
                             .build());
         }
 
+        /** Waits for the next response and fails unless it is of that type. */
         public DeltaDiscoveryResponse awaitResponse(String type) throws InterruptedException {
             DeltaDiscoveryResponse response = responses.poll(10, TimeUnit.SECONDS);
             if (response == null || !response.getTypeUrl().equals(type)) {
@@ -194,6 +213,7 @@
             return response;
         }
 
+        /** Acknowledges a response. */
         public void acknowledge(DeltaDiscoveryResponse response) {
             requests.onNext(
                     DeltaDiscoveryRequest.newBuilder()
@@ -202,6 +222,7 @@
                             .build());
         }
 
+        /** Rejects a response. */
         public void reject(DeltaDiscoveryResponse response) {
             requests.onNext(
                     DeltaDiscoveryRequest.newBuilder()
@@ -212,7 +233,7 @@
                             .build());
         }
 
-        /** Accepts all until its route is in force. */
+        /** Subscribes to all resources and acknowledges the first response of each type. */
         public void acceptAll() throws InterruptedException {
             subscribeToAll();
             for (String type :
--- a/src/test/java/sprucelanding/testing/ScriptedCore.java
+++ b/src/test/java/sprucelanding/testing/ScriptedCore.java
@@ -21,9 +21,9 @@
 import sprucelanding.runtime.governor.ResourceNaming;
 
 /**
- * A controller's core on a clock that stands still, for recorded transcripts: what a front tells it
- * goes straight to a delivery, and what the delivery sends is handed on at once. The script gives
- * the orders.
+ * A governor's core on a clock that stands still, for recorded transcripts: the calls of a front go
+ * straight to a delivery, and what the delivery sends is passed on at once. The test gives the
+ * orders. Safe for use by several threads.
  */
 public final class ScriptedCore implements CoreHandle, ResourceNaming, DeliveryActions {
     private static final List<String> REQUEST_CLASSES = List.of("read", "write", "a&b<c>\"d\"");
@@ -53,9 +53,9 @@
     private final List<LoadReport> reports = new ArrayList<>();
 
     /**
-     * @param byRate whether what is let in is a rate
-     * @param epoch under which is written; 0 where no other governors share the fleet
-     * @param sends takes each message
+     * @param byRate whether the admitted level is a rate instead of a share
+     * @param epoch epoch that messages are written under; 0 where governors don't share the fleet
+     * @param messageSink takes each message
      */
     public ScriptedCore(boolean byRate, long epoch, Consumer<ResourceUpdate> messageSink) {
         this.byRate = byRate;
@@ -63,33 +63,31 @@
         this.messageSink = messageSink;
     }
 
-    // What the script does.
-
-    /** Orders of one moment. */
+    /** Gives orders, which are delivered as one batch. */
     public synchronized void applyOrders(Consumer<Delivery> orders) {
         orders.accept(delivery);
         delivery.batchEnded();
         flushDelivery();
     }
 
-    /** How many messages were sent to a proxy so far. */
+    /** Returns the number of messages that were sent to a proxy so far. */
     public synchronized int sentCount(String proxy) {
         return sentCountByProxy.getOrDefault(proxyId(proxy), 0);
     }
 
-    /** Waits until a proxy dialled and asked for something. */
+    /** Waits until a proxy has connected and subscribed to something. */
     public void awaitSubscribed(String proxy) throws InterruptedException {
         await("a stream of " + proxy, () -> subscribedProxies.contains(proxyId(proxy)));
     }
 
-    /** Waits until an answer of the proxy came. */
+    /** Waits until a proxy has answered a message. */
     public void awaitAnswer(String proxy, String nonce) throws InterruptedException {
         await(
                 "answer " + nonce + " of " + proxy,
                 () -> answeredMessages.contains(proxyId(proxy) + "/" + nonce));
     }
 
-    /** Waits for the next report that a proxy made. */
+    /** Waits for the next load report. */
     public synchronized LoadReport awaitReport() throws InterruptedException {
         await("a report", () -> !reports.isEmpty());
         return reports.remove(0);
@@ -107,13 +105,12 @@
     }
 
     private void flushDelivery() {
-        while (delivery.decide(this)) {
-            continue;
+        boolean pending = true;
+        while (pending) {
+            pending = delivery.decide(this);
         }
     }
 
-    // What a front tells.
-
     @Override
     public synchronized boolean proxyConnected(
             Front front,
@@ -192,9 +189,9 @@
     }
 
     @Override
-    public void updateWritten(Front front, ResourceUpdate message, double at, long bytes) {}
-
-    // The site.
+    public void updateWritten(Front front, ResourceUpdate message, double at, long bytes) {
+        // transcripts hold no times
+    }
 
     @Override
     public List<String> requestClassNames() {
@@ -222,8 +219,6 @@
         return byRate;
     }
 
-    // What the delivery decides.
-
     @Override
     public void send(ResourceUpdate message) {
         sentCountByProxy.merge(message.stream.proxyId, 1, Integer::sum);
@@ -236,8 +231,12 @@
     }
 
     @Override
-    public void acknowledged(ProxyStream stream, int serial) {}
+    public void acknowledged(ProxyStream stream, int serial) {
+        // tests wait for answers
+    }
 
     @Override
-    public void log(String text, Object... figures) {}
+    public void log(String text, Object... figures) {
+        // transcripts hold no log lines
+    }
 }
