--- a/src/main/java/sprucelanding/simulation/experiment/ExperimentCharts.java
+++ b/src/main/java/sprucelanding/simulation/experiment/ExperimentCharts.java
@@ -49,7 +49,7 @@
 
     private void draw(String scenarioName, List<JsonNode> values) throws IOException {
         Scenario scenario = inputs.scenario(scenarioName);
-        String name = Path.of(scenarioName).getFileName().toString();
+        String name = String.valueOf(Path.of(scenarioName).getFileName());
         SampleCharts samples =
                 new SampleCharts(folder, name.replaceAll(SCENARIO_SUFFIX, ""), values.get(0));
         List<String> zones = scenario.zones();
--- a/src/main/java/sprucelanding/simulation/scenario/GovernorCluster.java
+++ b/src/main/java/sprucelanding/simulation/scenario/GovernorCluster.java
@@ -37,6 +37,9 @@
     private static final double RESTART_DELAY_MILLIS = 6000;
     private static final int SECRET_BYTES = 32;
 
+    /** Seeds of the relays from one governor follow each other. */
+    private static final long PEERS_PER_SEED = 64;
+
     /** Spreads consecutive seeds, which would shuffle alike. */
     private static final long SEED_FACTOR = 0x9E3779B97F4A7C15L;
 
@@ -201,7 +204,7 @@
                         partition.isOpen(from % zones, to % zones)
                                 && peerCuts.get(from).get() + peerCuts.get(to).get() == 0;
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", peerPorts.get(to));
-        long seed = scenario.seed() * 6000 + from * 64 + to;
+        long seed = scenario.seed() * 6000 + from * PEERS_PER_SEED + to;
         try {
             DatagramRelay relay =
                     FleetLoops.callOn(
