--- a/src/main/java/sprucelanding/simulation/soak/Channel.java
+++ b/src/main/java/sprucelanding/simulation/soak/Channel.java
@@ -3,37 +3,48 @@
 import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
- * A governor's channel: messages leave one after the other at its pace and arrive a delay later.
+ * A governor's channel: messages leave one after the other at its rate and arrive a delay later.
+ * Used on the loop of the soak only. Times are in milliseconds.
  */
 final class Channel {
-    private static final double DELAY = 200; // ms on the way
-    private static final double SPREAD = 150; // ms that some take longer than others
+    private static final double DELAY = 200;
+
+    /** By how much longer the slowest messages take, in equal steps. */
+    private static final double DELAY_SPREAD = 150;
+
+    private static final int DELAY_STEPS = 8;
 
     private final EventLoop loop;
-    private final double linesPerMs;
+    private final double linesPerMilli;
     private double nextFreeAt = Double.NEGATIVE_INFINITY;
     private double lastArrivalAt = Double.NEGATIVE_INFINITY;
     private long sent;
 
-    Channel(EventLoop loop, double linesPerMs) {
+    Channel(EventLoop loop, double linesPerMilli) {
         this.loop = loop;
-        this.linesPerMs = linesPerMs;
+        this.linesPerMilli = linesPerMilli;
     }
 
-    /** Lines that wait, heads included. */
+    /** Returns the lines that wait, message overhead included. */
     double waitingLines() {
-        return Math.max(0, nextFreeAt - EventLoop.nowMillis()) * linesPerMs;
+        return Math.max(0, nextFreeAt - EventLoop.nowMillis()) * linesPerMilli;
     }
 
-    /** Takes a message of so many lines, its head included; it is applied once it has arrived. */
+    /**
+     * Sends a message.
+     *
+     * @param lines its table entries and its overhead
+     * @param apply runs when the message arrives
+     */
     void send(int lines, Runnable apply) {
-        nextFreeAt = Math.max(nextFreeAt, EventLoop.nowMillis()) + lines / linesPerMs;
-        double arrival = nextFreeAt + DELAY + SPREAD * (sent++ % 8) / 8;
+        nextFreeAt = Math.max(nextFreeAt, EventLoop.nowMillis()) + lines / linesPerMilli;
+        double arrival = nextFreeAt + DELAY + DELAY_SPREAD * (sent % DELAY_STEPS) / DELAY_STEPS;
+        sent++;
         lastArrivalAt = Math.max(lastArrivalAt, arrival); // messages arrive in order
         loop.scheduleAt(lastArrivalAt, apply);
     }
 
-    /** What waits dies with its governor. */
+    /** Drops what waits, as its governor has ended. */
     void clear() {
         nextFreeAt = Double.NEGATIVE_INFINITY;
         lastArrivalAt = Double.NEGATIVE_INFINITY;
--- a/src/main/java/sprucelanding/simulation/soak/DiscoveryServer.java
+++ b/src/main/java/sprucelanding/simulation/soak/DiscoveryServer.java
@@ -5,18 +5,31 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalLong;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
- * Discovery as one governor reaches it: a watch with chunked lines, which can fall silent or be
- * reset.
+ * The discovery service as one governor reaches it: a watch with chunked lines, which can fall
+ * silent or be reset. Used on the loop of the soak only. Times are in milliseconds.
  */
 final class DiscoveryServer {
-    private static final int MAX_UNREAD_BYTES = 1 << 20;
-    private static final double KEEP_ALIVE = 2000; // ms between empty lines
-    private static final double REPORT_DELAY_LIMIT =
-            6000; // ms after which a change counts as told, whether it arrived or not
+    /** What a governor may leave unread. */
+    static final int MAX_UNREAD_BYTES = 1 << 20;
+
+    /** Interval of empty lines. */
+    private static final double KEEP_ALIVE = 2000;
+
+    /** After this time a change counts as reported, whether it arrived or not. */
+    private static final double REPORT_DELAY_LIMIT = 6000;
+
+    private static final String END_OF_HEADER = "\r\n\r\n";
+    private static final String REVISION_PARAMETER = "index=";
+    private static final String RESPONSE_HEADER =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+    /** The start of a chunk whose rest never comes. */
+    private static final String HALF_A_CHUNK = "30\r\n{\"rev\":";
 
     private final EventLoop loop;
     private final SoakEndpoints list;
@@ -24,7 +37,7 @@
     private boolean silent;
     private double processStartedAt;
 
-    /** When the present governor process was told of each removal. */
+    /** When each removal was reported to the present governor process, by endpoint. */
     private final Map<String, Double> reportedAtById = new HashMap<>();
 
     DiscoveryServer(EventLoop loop, SoakEndpoints list) {
@@ -33,42 +46,48 @@
         loop.scheduleWithFixedDelay(KEEP_ALIVE, () -> send("\n"));
     }
 
-    /** Each connection is a watch; the newest one counts. */
+    /** Returns the listener of a new connection; each is a watch, and the newest one counts. */
     TcpConnection.Listener accepted() {
         return new Watch();
     }
 
-    /** A new governor process knows only what its configuration holds. */
+    /** Forgets what was reported: a new governor process knows only its configuration. */
     void processStarted(double now) {
         reportedAtById.clear();
         processStartedAt = now;
     }
 
-    /** Tells the watch what has changed since it was last told. */
+    /** Reports to the watch what has changed since the last report. */
     void publish() {
         if (watch != null && !silent) {
             watch.sendEntries();
         }
     }
 
-    void silence(boolean silent) {
-        this.silent = silent;
+    /** Stops all writing on the watch, which stays open. */
+    void pause() {
+        silent = true;
+    }
+
+    /** Writes again, and reports what has changed meanwhile. */
+    void resume() {
+        silent = false;
         publish();
     }
 
-    /** Resets the watch behind half of a line. */
+    /** Resets the watch in the middle of a line. */
     void reset() {
         if (watch != null) {
             Watch broken = watch;
             watch = null;
-            broken.currentConnection.write("30\r\n{\"rev\":".getBytes(StandardCharsets.US_ASCII));
+            broken.currentConnection.write(HALF_A_CHUNK.getBytes(StandardCharsets.US_ASCII));
             broken.currentConnection.reset();
         }
     }
 
     /**
-     * When its governor counts as told that the endpoint is removed; infinite if it is not, or not
-     * yet.
+     * Returns when the removal of an endpoint counts as reported to the governor; infinite if it
+     * isn't removed.
      */
     double removalReportedAt(SoakEndpoints.Change endpoint) {
         if (endpoint.state() == SoakEndpoints.State.READY) {
@@ -87,45 +106,48 @@
     private final class Watch implements TcpConnection.Listener {
         private final StringBuilder request = new StringBuilder();
         private TcpConnection currentConnection;
-        private long revision = -1;
+        private OptionalLong revision = OptionalLong.empty();
         private boolean answered;
 
         @Override
         public void onReceived(TcpConnection connection, ByteBuffer input) {
             currentConnection = connection;
             request.append(StandardCharsets.US_ASCII.decode(input));
-            if (!answered && request.indexOf("\r\n\r\n") >= 0) {
+            if (!answered && request.indexOf(END_OF_HEADER) >= 0) {
                 answered = true;
                 watch = this;
-                int index = request.indexOf("index=");
-                if (index >= 0) {
-                    String rest = request.substring(index + "index=".length());
-                    revision = Long.parseLong(rest.substring(0, rest.indexOf(' ')));
-                }
-                connection.write(
-                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                .getBytes(StandardCharsets.US_ASCII));
+                revision = requestedRevision();
+                connection.write(RESPONSE_HEADER.getBytes(StandardCharsets.US_ASCII));
                 chunk("\n");
                 publish();
             }
         }
 
+        /** Returns the revision that the governor has, if it says so. */
+        private OptionalLong requestedRevision() {
+            int index = request.indexOf(REVISION_PARAMETER);
+            if (index < 0) {
+                return OptionalLong.empty();
+            }
+            String rest = request.substring(index + REVISION_PARAMETER.length());
+            long requested = Long.parseLong(rest.substring(0, rest.indexOf(' ')));
+            return requested < 0 ? OptionalLong.empty() : OptionalLong.of(requested);
+        }
+
         void sendEntries() {
-            boolean whole = revision < 0;
+            boolean whole = revision.isEmpty();
             List<SoakEndpoints.Change> entries = list.responseSince(revision);
             if (!whole && entries.isEmpty()) {
                 return;
             }
-            revision = list.revision();
+            revision = OptionalLong.of(list.revision());
             chunk(list.json(entries, whole) + "\n");
-            // what a whole list does not name is gone
-            (whole ? list.removed() : entries)
-                    .stream()
-                            .filter(change -> change.state() != SoakEndpoints.State.READY)
-                            .forEach(
-                                    change ->
-                                            reportedAtById.putIfAbsent(
-                                                    change.uid(), EventLoop.nowMillis()));
+            // endpoints that a whole list doesn't name are gone
+            for (SoakEndpoints.Change change : whole ? list.removed() : entries) {
+                if (change.state() != SoakEndpoints.State.READY) {
+                    reportedAtById.putIfAbsent(change.uid(), EventLoop.nowMillis());
+                }
+            }
         }
 
         private void chunk(String text) {
@@ -139,8 +161,4 @@
             watch = watch == this ? null : watch;
         }
     }
-
-    static int unread() {
-        return MAX_UNREAD_BYTES;
-    }
 }
--- a/src/main/java/sprucelanding/simulation/soak/FleetProxy.java
+++ b/src/main/java/sprucelanding/simulation/soak/FleetProxy.java
@@ -12,52 +12,63 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalInt;
 import java.util.Set;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
- * A proxy of the fleet: it keeps the tables that it is sent, and dials another governor when its
- * stream ends.
+ * A simulated proxy: keeps the tables that it is sent, and connects to another governor when its
+ * stream ends. Used on the loop of the soak only. Times are in milliseconds.
  */
 final class FleetProxy {
     /** What the fleet does for its proxies. */
     interface Host {
-        /** A governor to dial, or -1 if none is up. */
-        int governorFor(FleetProxy proxy);
+        /** Returns the governor to connect to; empty if none is up. */
+        OptionalInt governorFor(FleetProxy proxy);
 
-        TcpConnection dial(int governor, TcpConnection.Listener listener);
+        /** Opens a connection to a governor. */
+        TcpConnection connect(int governor, TcpConnection.Listener listener);
 
+        /** Returns the channel of a governor. */
         Channel channel(int governor);
 
-        /** Whether the next acknowledgement is lost. */
+        /** Returns whether the next acknowledgement is lost. */
         boolean dropsAcknowledgement();
 
-        /** A message of that many lines, its head included, has come whole. */
+        /**
+         * A whole message was received.
+         *
+         * @param lines its table entries and its overhead
+         */
         void messageSent(FleetProxy proxy, int governor, int lines);
 
-        /** ms until a proxy without a stream dials again. */
-        double redialDelay();
+        /** Returns the time until a proxy without a stream connects again. */
+        double reconnectDelay();
     }
 
-    private static final double NO_GOVERNOR_RETRY_DELAY = 100; // ms until it looks again
+    /** Time until a proxy looks for a governor again. */
+    private static final double NO_GOVERNOR_RETRY_DELAY = 100;
 
-    final int number;
-    final String zone;
+    /** Time until the governor's side of a silent stream ends. */
+    private static final double SILENCE_TIME = 6000;
+
+    private final int number;
+    private final String zone;
     private final EventLoop loop;
     private final Host host;
     private final String[] requestClasses;
 
-    /** By class, the weights of the endpoints in its table. */
+    /** By request class, the weights of the endpoints in its table. */
     private final Map<String, Map<String, Double>> tables = new HashMap<>();
 
     private final Set<String> ejectedEverywhere = new HashSet<>();
     private boolean standing = true;
     private Stream stream;
-    private int governor = -1;
+    private OptionalInt governor = OptionalInt.empty();
     private double joinedAt;
 
-    /** When messages were written to it on its present stream. */
+    /** When messages were received on the present stream. */
     private final ArrayDeque<Double> messageTimes = new ArrayDeque<>();
 
     FleetProxy(
@@ -65,29 +76,35 @@
             String zone,
             EventLoop loop,
             Host host,
-            String[] classes,
-            List<String> endpoints) {
+            String[] requestClasses,
+            List<String> standingEndpoints) {
         this.number = number;
         this.zone = zone;
         this.loop = loop;
         this.host = host;
-        this.requestClasses = classes;
-        for (String name : classes) {
+        this.requestClasses = requestClasses;
+        for (String name : requestClasses) {
             Map<String, Double> table = new HashMap<>();
-            endpoints.forEach(uid -> table.put(uid, 1.0));
+            standingEndpoints.forEach(uid -> table.put(uid, 1.0));
             tables.put(name, table);
         }
     }
 
-    /** Its governor, or -1 while it has none. */
-    int governor() {
+    int number() {
+        return number;
+    }
+
+    /** Returns the governor that it is connected to. */
+    OptionalInt governor() {
         return governor;
     }
 
+    /** Returns when it connected to its governor. */
     double joinedAt() {
         return joinedAt;
     }
 
+    /** Returns whether it may send requests to an endpoint. */
     boolean mayPick(String uid) {
         if (ejectedEverywhere.contains(uid)) {
             return false;
@@ -100,7 +117,7 @@
         return false;
     }
 
-    /** Whether each class has an endpoint to pick. */
+    /** Returns whether each request class has an endpoint to pick. */
     boolean hasLines() {
         return tables.values().stream()
                 .allMatch(
@@ -109,21 +126,23 @@
                                         .anyMatch(uid -> !ejectedEverywhere.contains(uid)));
     }
 
+    /** Returns when messages were received on the present stream, for the checker to prune. */
     ArrayDeque<Double> messageTimes() {
         return messageTimes;
     }
 
+    /** Connects to a governor, or tries again later if none is up. */
     void connect() {
-        int governorNumber = host.governorFor(this);
-        if (governorNumber < 0) {
+        OptionalInt chosen = host.governorFor(this);
+        if (chosen.isEmpty()) {
             loop.schedule(NO_GOVERNOR_RETRY_DELAY, this::connect);
         } else {
-            stream = new Stream(governorNumber);
-            stream.currentConnection = host.dial(governorNumber, stream);
+            stream = new Stream(chosen.getAsInt());
+            stream.currentConnection = host.connect(chosen.getAsInt(), stream);
         }
     }
 
-    /** Its stream is reset by the network, perhaps in the middle of a message. */
+    /** Resets its stream, perhaps in the middle of a message. */
     void reset() {
         if (stream != null && stream.currentConnection != null) {
             stream.currentConnection.reset();
@@ -131,21 +150,21 @@
     }
 
     /**
-     * Its stream falls silent: nothing more is read or written on it, nobody is told, and it dials
-     * again.
+     * Lets its stream fall silent: nothing more is read or written on it, its governor isn't
+     * notified, and the proxy connects again.
      */
     void silence() {
-        if (stream != null && governor >= 0) {
+        if (stream != null && governor.isPresent()) {
             Stream previous = stream;
             previous.currentConnection.setReadPaused(true);
-            loop.schedule(6000, previous.currentConnection::reset);
+            loop.schedule(SILENCE_TIME, previous.currentConnection::reset);
             onStreamLost();
         }
     }
 
-    /** It leaves for another governor of its own accord. */
+    /** Leaves its governor for another one. */
     void handOver() {
-        if (stream != null && governor >= 0) {
+        if (stream != null && governor.isPresent()) {
             TcpConnection previous = stream.currentConnection;
             onStreamLost();
             previous.close();
@@ -154,9 +173,9 @@
 
     private void onStreamLost() {
         stream = null;
-        governor = -1;
+        governor = OptionalInt.empty();
         messageTimes.clear();
-        loop.schedule(host.redialDelay(), this::connect);
+        loop.schedule(host.reconnectDelay(), this::connect);
     }
 
     private final class Stream implements TcpConnection.Listener {
@@ -182,7 +201,7 @@
                                         + standing
                                         + "}\n")
                                 .getBytes(StandardCharsets.US_ASCII));
-                governor = governorNumber;
+                governor = OptionalInt.of(governorNumber);
                 joinedAt = EventLoop.nowMillis();
             }
         }
--- a/src/main/java/sprucelanding/simulation/soak/InvariantChecker.java
+++ b/src/main/java/sprucelanding/simulation/soak/InvariantChecker.java
@@ -10,21 +10,21 @@
 
 /**
  * Checks the rules on what the proxies hold, and counts violations: one for each proxy and
- * endpoint, or proxy and spell.
+ * endpoint, or proxy and interval. Used on the loop of the soak only. Times are in milliseconds.
  */
 final class InvariantChecker {
     /** The rules that are checked. */
     enum Rule {
         /**
-         * A proxy may still pick an endpoint whose removal its governor was told more than the
-         * grace ago.
+         * A proxy may still pick an endpoint whose removal was reported to its governor longer ago
+         * than the grace time.
          */
         DRAIN,
-        /** A proxy has had no endpoint to pick for some class for too long. */
+        /** A proxy has had no endpoint to pick for some request class for too long. */
         NO_ENDPOINT,
-        /** More lines wait in a governor's channel than may. */
+        /** Too many lines wait in a governor's channel. */
         BACKLOG,
-        /** A proxy was sent more messages within ten seconds than may be. */
+        /** A proxy was sent too many messages within ten seconds. */
         MESSAGES,
         /** A governor process ended though no fault ended it. */
         CRASH,
@@ -35,11 +35,15 @@
         INTERNAL
     }
 
-    private static final double SLACK_MILLIS = 300; // ms that the rules allow beyond their limits
-    private static final double NO_ENDPOINT_LIMIT = 7800; // ms
-    private static final double MESSAGE_SPAN = 10_000; // ms
-    private static final double FIRST_ANSWER =
-            1000; // ms after a governor's first answer before its limits begin
+    /** What the rules allow beyond their limits. */
+    private static final double SLACK_MILLIS = 300;
+
+    private static final double NO_ENDPOINT_LIMIT = 7800;
+    private static final double MESSAGE_SPAN = 10_000;
+
+    /** From a governor's first answer until its limits count. */
+    private static final double STARTUP_TIME = 1000;
+
     private static final int MAX_EXAMPLES = 5;
 
     private final SoakPlan plan;
@@ -53,8 +57,10 @@
     }
 
     /**
-     * Checks one proxy against the removals that its governor was told of; upSince: its governor's
-     * first answer.
+     * Checks one proxy against the removals that were reported to its governor.
+     *
+     * @param removed endpoints that drain or are gone
+     * @param upSince its governor's first answer
      */
     void check(
             FleetProxy proxy,
@@ -62,46 +68,51 @@
             List<SoakEndpoints.Change> removed,
             double upSince,
             double now) {
-        double countedFrom = Math.max(proxy.joinedAt(), upSince + FIRST_ANSWER);
+        double countedFrom = Math.max(proxy.joinedAt(), upSince + STARTUP_TIME);
         for (SoakEndpoints.Change endpoint : removed) {
             double dueAt =
                     Math.max(countedFrom, discovery.removalReportedAt(endpoint))
                             + plan.grace()
                             + SLACK_MILLIS;
             if (now > dueAt && proxy.mayPick(endpoint.uid())) {
-                String id = proxy.number + "/" + endpoint.uid() + "/" + endpoint.revision();
                 violated(
                         Rule.DRAIN,
-                        id,
-                        "proxy "
-                                + proxy.number
-                                + " of governor "
-                                + proxy.governor()
-                                + " may pick "
-                                + endpoint.uid()
-                                + " "
-                                + Math.round(now - dueAt + SLACK_MILLIS)
-                                + " ms after its grace, joined "
-                                + Math.round(now - proxy.joinedAt())
-                                + " ms ago");
+                        proxy.number() + "/" + endpoint.uid() + "/" + endpoint.revision(),
+                        drainEvidence(proxy, endpoint, now - dueAt + SLACK_MILLIS, now));
             }
         }
         checkLines(proxy, countedFrom, now);
     }
 
+    private static String drainEvidence(
+            FleetProxy proxy, SoakEndpoints.Change endpoint, double lateMillis, double now) {
+        return "proxy "
+                + proxy.number()
+                + " of governor "
+                + proxy.governor().getAsInt()
+                + " may pick "
+                + endpoint.uid()
+                + " "
+                + Math.round(lateMillis)
+                + " ms after its grace, joined "
+                + Math.round(now - proxy.joinedAt())
+                + " ms ago";
+    }
+
     private void checkLines(FleetProxy proxy, double countedFrom, double now) {
         if (proxy.hasLines()) {
-            withoutLinesSince.remove(proxy.number);
+            withoutLinesSince.remove(proxy.number());
             return;
         }
         double since =
-                Math.max(countedFrom, withoutLinesSince.computeIfAbsent(proxy.number, key -> now));
+                Math.max(
+                        countedFrom, withoutLinesSince.computeIfAbsent(proxy.number(), key -> now));
         if (now - since > NO_ENDPOINT_LIMIT + SLACK_MILLIS) {
             violated(
                     Rule.NO_ENDPOINT,
-                    proxy.number + "/" + since,
+                    proxy.number() + "/" + since,
                     "proxy "
-                            + proxy.number
+                            + proxy.number()
                             + " has nothing to pick for "
                             + Math.round(now - since)
                             + " ms");
@@ -109,28 +120,30 @@
     }
 
     /**
-     * A message has been written to that proxy, and so many lines wait in its governor's channel
-     * now.
+     * Checks a message to a proxy.
+     *
+     * @param waiting lines that wait in the governor's channel now
      */
-    void checkMessage(FleetProxy proxy, double waiting, double now) {
+    void checkMessage(FleetProxy proxy, int governor, double waiting, double now) {
         if (waiting > plan.queueLimit()) {
             violated(
                     Rule.BACKLOG,
-                    "backlog/" + proxy.governor() + "/" + Math.floor(now / 1000),
-                    Math.round(waiting) + " lines wait at governor " + proxy.governor());
+                    "backlog/" + governor + "/" + Math.floor(now / 1000),
+                    Math.round(waiting) + " lines wait at governor " + governor);
         }
         proxy.messageTimes().removeIf(at -> at < now - MESSAGE_SPAN);
         if (plan.messageLimit() > 0 && proxy.messageTimes().size() > plan.messageLimit()) {
             violated(
                     Rule.MESSAGES,
-                    "messages/" + proxy.number + "/" + Math.floor(now / MESSAGE_SPAN),
+                    "messages/" + proxy.number() + "/" + Math.floor(now / MESSAGE_SPAN),
                     proxy.messageTimes().size()
                             + " messages to proxy "
-                            + proxy.number
+                            + proxy.number()
                             + " within ten seconds");
         }
     }
 
+    /** Records that a governor's process ended though no fault ended it. */
     void crashed(int governor) {
         violated(
                 Rule.CRASH,
@@ -138,6 +151,7 @@
                 "governor " + governor + " ended by itself");
     }
 
+    /** Records a line of a governor's log that tells of a fault of the program. */
     void failed(int governor, String line) {
         violated(
                 Rule.INTERNAL, "internal/" + governor, "governor " + governor + " logged: " + line);
@@ -152,10 +166,12 @@
         }
     }
 
+    /** Returns the number of violations by rule. */
     Map<Rule, Integer> violations() {
         return violations;
     }
 
+    /** Returns the first violations of each rule. */
     List<String> examples() {
         return examples;
     }
--- /dev/null
+++ b/src/main/java/sprucelanding/simulation/soak/ServeConfig.java
@@ -0,0 +1,62 @@
+package sprucelanding.simulation.soak;
+
+/** Writes the configuration of a governor process as the JSON that {@code serve} reads. */
+final class ServeConfig {
+    private static final double WARMUP_MILLIS = 6000;
+
+    private final SoakPlan plan;
+
+    ServeConfig(SoakPlan plan) {
+        this.plan = plan;
+    }
+
+    /**
+     * Returns the configuration of one governor.
+     *
+     * @param knownEndpoints the endpoint list that it starts with, as JSON
+     */
+    String text(int governor, int listenPort, int discoveryPort, String knownEndpoints) {
+        return "{\"name\":\"n"
+                + governor
+                + "\",\"listen\":\"127.0.0.1:"
+                + listenPort
+                + "\",\"discovery\":\"127.0.0.1:"
+                + discoveryPort
+                + "\",\"seed\":\""
+                + Long.toHexString(plan.seed() + governor)
+                + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1240},\"known\":"
+                + knownEndpoints
+                + ",\"settings\":"
+                + settings()
+                + "}";
+    }
+
+    private String settings() {
+        return "{\"balancers\":"
+                + plan.governors()
+                + ",\"membershipMode\":\"pushed\",\"tickUs\":5000,"
+                + "\"classes\":[{\"name\":\"read\",\"effect\":\"pure\",\"worth\":1,\"promiseUs\":750000},"
+                + "{\"name\":\"write\",\"effect\":\"side_effect\",\"worth\":2,\"promiseUs\":800000}],"
+                + "\"zones\":[\"a\",\"b\",\"c\"],\"kinds\":[\"m1\"],\"report\":{\"how\":\"answers\",\"names\":[\"cpu_share\"]},"
+                + "\"contract\":{\"coldFrom\":0.3,\"warmAfterUs\":"
+                + micros(WARMUP_MILLIS)
+                + ",\"drainGraceUs\":"
+                + micros(plan.grace())
+                + "},\"familyInfo\":{\"admit\":\"share\",\"proxies\":"
+                + plan.proxies()
+                + ",\"egressPerS\":"
+                + plan.linesPerSecond()
+                + ",\"head\":"
+                + SoakPlan.MESSAGE_OVERHEAD_LINES
+                + ",\"queueCap\":"
+                + plan.queueLimit()
+                + ",\"updateCap\":"
+                + plan.messageLimit()
+                + ",\"reloadSpanUs\":10000000,\"reportEveryUs\":1000000,\"transitMaxUs\":800000},"
+                + "\"ceilings\":{\"probes\":true,\"connectTimeoutUs\":250000}}";
+    }
+
+    private static long micros(double millis) {
+        return Math.round(millis * 1000);
+    }
+}
--- a/src/main/java/sprucelanding/simulation/soak/ServeProcess.java
+++ b/src/main/java/sprucelanding/simulation/soak/ServeProcess.java
@@ -1,19 +1,20 @@
 package sprucelanding.simulation.soak;
 
-import java.io.File;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import java.util.concurrent.TimeUnit;
+import java.util.Map;
+import java.util.Optional;
+import java.util.stream.Stream;
+import sprucelanding.simulation.process.JavaProcess;
 
 /**
- * One real governor process: {@code serve} with the JVM options of the deploy file, on the class
- * path of this process.
+ * A real governor in a process of its own: {@code serve} with the JVM options of the deploy file.
+ * Its log is read for faults of the program.
  */
 final class ServeProcess {
     private static final List<String> JVM_OPTIONS =
@@ -28,6 +29,7 @@
                     "-XX:MaxDirectMemorySize=4m",
                     "-XX:ReservedCodeCacheSize=16m");
 
+    /** Texts in the log that tell of a fault of the program itself. */
     private static final List<String> FAILURES =
             List.of(
                     "decision failed",
@@ -37,94 +39,79 @@
                     "Exception",
                     "OutOfMemoryError");
 
+    private static final String CONFIG_VARIABLE = "NODE_CONFIG";
+    private static final String DRAIN_EVENT = "event=drain_status";
+    private static final String OVERDUE_KEY = "overdue=";
+    private static final int STOP_SECONDS = 5;
+
     private final int number;
     private final Path config;
     private final Path log;
-    private Process process;
+    private final JavaProcess process;
 
+    /**
+     * @param folder folder for its configuration and log
+     */
     ServeProcess(int number, Path folder) {
         this.number = number;
         this.config = folder.resolve("governor-" + number + ".json");
         this.log = folder.resolve("governor-" + number + ".log");
+        this.process = new JavaProcess(JVM_OPTIONS, List.of("serve"), log);
     }
 
-    /** Starts it with that configuration, JSON; throws UncheckedIOException. */
+    /**
+     * Starts it with a configuration in JSON.
+     *
+     * @throws UncheckedIOException if it can't be started
+     */
     void start(String json) {
         try {
             Files.writeString(config, json);
-            List<String> command = new ArrayList<>();
-            command.add(ProcessHandle.current().info().command().orElse("java"));
-            command.addAll(JVM_OPTIONS);
-            command.addAll(
-                    List.of(
-                            "-cp",
-                            System.getProperty("java.class.path"),
-                            "sprucelanding.cli.Main",
-                            "serve"));
-            ProcessBuilder builder =
-                    new ProcessBuilder(command)
-                            .redirectErrorStream(true)
-                            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
-            builder.environment().put("NODE_CONFIG", config.toString());
-            process = builder.start();
+            process.start(Map.of(CONFIG_VARIABLE, config.toString()));
         } catch (IOException e) {
             throw new UncheckedIOException("governor " + number + " cannot be started", e);
         }
     }
 
     boolean isAlive() {
-        return process != null && process.isAlive();
+        return process.isAlive();
     }
 
     void kill() {
-        process.destroyForcibly();
+        process.kill();
     }
 
-    /** Sends a signal by its name without the SIG. */
-    void signal(String name) {
-        try {
-            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
-                    .redirectErrorStream(true)
-                    .redirectOutput(new File("/dev/null"))
-                    .start();
-        } catch (IOException e) {
-            throw new UncheckedIOException("no signal can be sent", e);
-        }
+    void signal(JavaProcess.Signal signal) {
+        process.signal(signal);
     }
 
-    /** Ends it for good and waits until it is gone. */
+    /** Ends it for good and waits until it has ended. */
     void stop() throws InterruptedException {
-        if (process != null) {
-            process.destroyForcibly();
-            process.waitFor(5, TimeUnit.SECONDS);
+        if (process.isStarted()) {
+            process.kill();
+            process.awaitEnd(STOP_SECONDS);
         }
     }
 
     /**
-     * The highest count in its log of removals that were not acknowledged by their deadline; 0 if
+     * Returns the highest count in its log of removals that weren't acknowledged in time; 0 if
      * there were none.
      */
     long overdueLogged() {
-        return figure("event=drain_status", "overdue=");
-    }
-
-    /** The first line of its log that tells of a fault of the program itself, or null. */
-    String failureLogged() {
-        try (var lines = Files.lines(log, StandardCharsets.UTF_8)) {
-            return lines.filter(line -> FAILURES.stream().anyMatch(line::contains))
-                    .findFirst()
-                    .orElse(null);
+        try (Stream<String> lines = Files.lines(log, StandardCharsets.UTF_8)) {
+            return lines.filter(line -> line.contains(DRAIN_EVENT) && line.contains(OVERDUE_KEY))
+                    .mapToLong(line -> value(line, OVERDUE_KEY))
+                    .max()
+                    .orElse(0);
         } catch (IOException e) {
             throw new UncheckedIOException("no log", e);
         }
     }
 
-    private long figure(String event, String key) {
-        try (var lines = Files.lines(log, StandardCharsets.UTF_8)) {
-            return lines.filter(line -> line.contains(event) && line.contains(key))
-                    .mapToLong(line -> value(line, key))
-                    .max()
-                    .orElse(0);
+    /** Returns the first line of its log that tells of a fault of the program itself. */
+    Optional<String> failureLogged() {
+        try (Stream<String> lines = Files.lines(log, StandardCharsets.UTF_8)) {
+            return lines.filter(line -> FAILURES.stream().anyMatch(line::contains)).findFirst();
         } catch (IOException e) {
             throw new UncheckedIOException("no log", e);
         }
--- a/src/main/java/sprucelanding/simulation/soak/SoakEndpoints.java
+++ b/src/main/java/sprucelanding/simulation/soak/SoakEndpoints.java
@@ -3,22 +3,31 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
+import java.util.OptionalLong;
 
 /** The endpoints as discovery lists them, in numbered revisions; every change is kept. */
 final class SoakEndpoints {
-    /** The state of an endpoint, by its name on the wire. */
+    /** The state of an endpoint. */
     enum State {
         READY,
         DRAINING,
         GONE;
 
+        /** Returns its name on the wire. */
         String wireName() {
-            return name().toLowerCase(java.util.Locale.ROOT);
+            return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** One change; {@code bootMillis} is wall-clock time, 0 if the endpoint started long ago. */
+    /**
+     * One change.
+     *
+     * @param revision revision of the list that it made
+     * @param bootMillis wall-clock time of the endpoint's start; 0 if it started long ago
+     * @param changedAt time of the change on the monotonic clock, in milliseconds
+     */
     record Change(
             long revision, String uid, int zone, State state, long bootMillis, double changedAt) {}
 
@@ -29,12 +38,16 @@
     private long revision;
     private int created;
 
-    /** All endpoints are probed at the same address, HOST:PORT. */
+    /**
+     * Creates a list of endpoints that are all ready.
+     *
+     * @param address where all of them answer health checks, HOST:PORT
+     */
     SoakEndpoints(int count, String[] zones, String address) {
         this.address = address;
         this.zones = zones;
         for (int i = 0; i < count; i++) {
-            String uid = "s-" + created++;
+            String uid = nextUid();
             current.put(
                     uid,
                     new Change(0, uid, i % zones.length, State.READY, 0, Double.NEGATIVE_INFINITY));
@@ -45,12 +58,12 @@
         return revision;
     }
 
-    /** Those that are ready, oldest first. */
+    /** Returns the ready endpoints, oldest first. */
     List<Change> ready() {
         return current.values().stream().filter(entry -> entry.state() == State.READY).toList();
     }
 
-    /** Those that drain or are gone. */
+    /** Returns the endpoints that drain or are gone. */
     List<Change> removed() {
         return current.values().stream().filter(entry -> entry.state() != State.READY).toList();
     }
@@ -59,15 +72,23 @@
         return current.get(uid);
     }
 
-    /** Enters one change as a revision of its own. */
+    /** Changes the state of an endpoint, as a revision of its own. */
     void change(String uid, State state, double now) {
         Change previous = current.get(uid);
-        record(new Change(++revision, uid, previous.zone(), state, previous.bootMillis(), now));
+        revision++;
+        record(new Change(revision, uid, previous.zone(), state, previous.bootMillis(), now));
     }
 
-    /** A new endpoint in that zone that has just started. */
+    /** Adds an endpoint that has just started. */
     void add(int zone, long bootMillis, double now) {
-        record(new Change(++revision, "s-" + created++, zone, State.READY, bootMillis, now));
+        revision++;
+        record(new Change(revision, nextUid(), zone, State.READY, bootMillis, now));
+    }
+
+    private String nextUid() {
+        String uid = "s-" + created;
+        created++;
+        return uid;
     }
 
     private void record(Change change) {
@@ -80,16 +101,28 @@
     }
 
     /**
-     * What a watch that had that revision is to be told: the changes since, or the whole list if it
-     * had none.
+     * Returns what a watch is to be sent.
+     *
+     * @param after the revision that the watch has; if it has none, it is sent the whole list
      */
-    List<Change> responseSince(long after) {
-        return after >= 0
-                ? changesSince(after)
-                : current.values().stream().filter(entry -> entry.state() != State.GONE).toList();
+    List<Change> responseSince(OptionalLong after) {
+        return after.isPresent() ? changesSince(after.getAsLong()) : wholeList();
     }
 
-    /** The answer as discovery writes it, on one line. */
+    private List<Change> wholeList() {
+        return current.values().stream().filter(entry -> entry.state() != State.GONE).toList();
+    }
+
+    /** Returns the whole list as discovery writes it. */
+    String wholeListJson() {
+        return json(wholeList(), true);
+    }
+
+    /**
+     * Returns changes as discovery writes them, on one line.
+     *
+     * @param whole whether they are the whole list
+     */
     String json(List<Change> entries, boolean whole) {
         StringBuilder text =
                 new StringBuilder("{\"rev\":")
--- /dev/null
+++ b/src/main/java/sprucelanding/simulation/soak/SoakFleet.java
@@ -0,0 +1,220 @@
+package sprucelanding.simulation.soak;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.OptionalInt;
+import java.util.SplittableRandom;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.TcpConnection;
+
+/**
+ * The fleet of a soak: governor processes, and the simulated endpoints, discovery and proxies
+ * around them. Used on the loop of the soak only, once it runs. Times are in milliseconds.
+ */
+final class SoakFleet implements FleetProxy.Host, SoakGovernor.Listener {
+    private static final String[] ZONES = {"a", "b", "c"};
+    private static final String[] REQUEST_CLASSES = {"read", "write"};
+    private static final int STANDING_ENDPOINTS = 6;
+    private static final int HEALTH_CHECK_BACKLOG = 256;
+    private static final int MAX_CONNECT_DELAY = 300;
+    private static final int MIN_HANDOVER_DELAY = 3000;
+    private static final int HANDOVER_DELAY_RANGE = 5000;
+    private static final int MIN_RECONNECT_DELAY = 300;
+    private static final int RECONNECT_DELAY_RANGE = 1200;
+
+    private final EventLoop loop;
+    private final SplittableRandom random;
+    private final InvariantChecker checker;
+    private final SoakEndpoints endpoints;
+    private final List<SoakGovernor> governors = new ArrayList<>();
+    private final List<FleetProxy> proxies = new ArrayList<>();
+    private double acknowledgementLoss;
+    private long joins;
+    private long messages;
+
+    /**
+     * Opens the fleet's sockets; no process is started yet.
+     *
+     * @param folder folder for the governors' configurations and logs
+     */
+    SoakFleet(
+            SoakPlan plan,
+            Path folder,
+            EventLoop loop,
+            SplittableRandom random,
+            InvariantChecker checker)
+            throws IOException {
+        this.loop = loop;
+        this.random = random;
+        this.checker = checker;
+        int healthCheckPort =
+                loop.localPort(
+                        loop.listen(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                HEALTH_CHECK_BACKLOG,
+                                connection ->
+                                        loop.register(
+                                                connection,
+                                                SoakGovernor.MAX_UNREAD_BYTES,
+                                                new HealthCheckResponder())));
+        endpoints = new SoakEndpoints(plan.endpoints(), ZONES, "127.0.0.1:" + healthCheckPort);
+        for (int i = 0; i < plan.governors(); i++) {
+            governors.add(new SoakGovernor(i, plan, folder, loop, endpoints, this));
+        }
+        List<String> ready = endpoints.ready().stream().map(SoakEndpoints.Change::uid).toList();
+        for (int i = 0; i < plan.proxies(); i++) {
+            proxies.add(
+                    new FleetProxy(
+                            i,
+                            ZONES[i % ZONES.length],
+                            loop,
+                            this,
+                            REQUEST_CLASSES,
+                            standingEndpoints(ready)));
+        }
+    }
+
+    private List<String> standingEndpoints(List<String> ready) {
+        List<String> standing = new ArrayList<>();
+        for (int i = 0; i < STANDING_ENDPOINTS; i++) {
+            standing.add(ready.get(random.nextInt(ready.size())));
+        }
+        return standing;
+    }
+
+    void startGovernors() {
+        governors.forEach(SoakGovernor::start);
+    }
+
+    boolean allGovernorsAnswered() {
+        return governors.stream().allMatch(SoakGovernor::hasAnswered);
+    }
+
+    void connectProxies() {
+        proxies.forEach(proxy -> loop.schedule(random.nextInt(MAX_CONNECT_DELAY), proxy::connect));
+    }
+
+    List<SoakGovernor> governors() {
+        return Collections.unmodifiableList(governors);
+    }
+
+    SoakEndpoints endpoints() {
+        return endpoints;
+    }
+
+    /** Draws a share of the proxies. */
+    List<FleetProxy> chooseProxies(double share) {
+        return proxies.stream().filter(proxy -> random.nextDouble() < share).toList();
+    }
+
+    /** Reports the changes of the endpoint list to all governors. */
+    void publishEndpoints() {
+        governors.forEach(governor -> governor.discovery().publish());
+    }
+
+    /** Sets the probability that an acknowledgement is lost. */
+    void setAcknowledgementLoss(double probability) {
+        acknowledgementLoss = probability;
+    }
+
+    /** Returns how often proxies connected to a governor. */
+    long joins() {
+        return joins;
+    }
+
+    /** Returns the number of messages that governors wrote. */
+    long messages() {
+        return messages;
+    }
+
+    /** Checks the rules on what proxies hold, and whether governors have crashed. */
+    void check() {
+        double now = EventLoop.nowMillis();
+        List<SoakEndpoints.Change> removed = endpoints.removed();
+        for (FleetProxy proxy : proxies) {
+            if (proxy.governor().isPresent()) {
+                checkProxy(proxy, governors.get(proxy.governor().getAsInt()), removed, now);
+            }
+        }
+        for (SoakGovernor governor : governors) {
+            if (governor.hasCrashed()) {
+                checker.crashed(governor.number());
+                governor.goDown(0);
+            }
+        }
+    }
+
+    private void checkProxy(
+            FleetProxy proxy,
+            SoakGovernor governor,
+            List<SoakEndpoints.Change> removed,
+            double now) {
+        if (governor.wasAvailableBefore(now)) {
+            double upSince = governor.upSince().getAsDouble();
+            checker.check(proxy, governor.discovery(), removed, upSince, now);
+        }
+    }
+
+    private SoakGovernor preferredGovernor(FleetProxy proxy) {
+        return governors.get(proxy.number() % governors.size());
+    }
+
+    @Override
+    public void governorUp(SoakGovernor governor) {
+        proxies.stream()
+                .filter(proxy -> preferredGovernor(proxy) == governor)
+                .filter(proxy -> proxy.governor().isPresent())
+                .forEach(proxy -> loop.schedule(handoverDelay(), proxy::handOver));
+    }
+
+    private double handoverDelay() {
+        return MIN_HANDOVER_DELAY + random.nextInt(HANDOVER_DELAY_RANGE);
+    }
+
+    @Override
+    public OptionalInt governorFor(FleetProxy proxy) {
+        double now = EventLoop.nowMillis();
+        List<SoakGovernor> available =
+                governors.stream().filter(governor -> governor.wasAvailableBefore(now)).toList();
+        SoakGovernor preferred = preferredGovernor(proxy);
+        if (available.contains(preferred)) {
+            return OptionalInt.of(preferred.number());
+        }
+        return available.isEmpty()
+                ? OptionalInt.empty()
+                : OptionalInt.of(available.get(random.nextInt(available.size())).number());
+    }
+
+    @Override
+    public TcpConnection connect(int governor, TcpConnection.Listener listener) {
+        joins++;
+        return governors.get(governor).connect(listener);
+    }
+
+    @Override
+    public Channel channel(int governor) {
+        return governors.get(governor).channel();
+    }
+
+    @Override
+    public boolean dropsAcknowledgement() {
+        return random.nextDouble() < acknowledgementLoss;
+    }
+
+    @Override
+    public void messageSent(FleetProxy proxy, int governor, int lines) {
+        messages++;
+        double waiting = governors.get(governor).channel().waitingLines() + lines;
+        checker.checkMessage(proxy, governor, waiting, EventLoop.nowMillis());
+    }
+
+    @Override
+    public double reconnectDelay() {
+        return MIN_RECONNECT_DELAY + random.nextInt(RECONNECT_DELAY_RANGE);
+    }
+}
--- a/src/main/java/sprucelanding/simulation/soak/SoakPlan.java
+++ b/src/main/java/sprucelanding/simulation/soak/SoakPlan.java
@@ -7,18 +7,19 @@
 import java.util.SplittableRandom;
 
 /**
- * The fleet of a soak, the limits its governors are told, and the faults that strike it.
+ * The fleet of a soak, the limits that its governors are configured with, and its faults. Times are
+ * in milliseconds.
  *
- * @param seed what everything random is drawn from
- * @param duration ms from the first to the last instant that is judged
- * @param governors how many real governor processes run
- * @param proxies how many proxies they share
- * @param endpoints how many endpoints are listed
- * @param grace ms within which proxies have to stop sending to a removed endpoint
- * @param linesPerSecond pace of each governor's channel
+ * @param seed seed of all random draws
+ * @param duration time for which faults are injected and rules are checked
+ * @param governors number of governor processes
+ * @param proxies number of proxies
+ * @param endpoints number of endpoints that are listed
+ * @param grace time within which proxies have to stop sending to a removed endpoint
+ * @param linesPerSecond rate of each governor's channel
  * @param queueLimit lines that may wait in a channel
- * @param messageLimit messages that one proxy may be sent within ten seconds; 0: no limit
- * @param faults what strikes, in order of time
+ * @param messageLimit messages that one proxy may be sent within ten seconds; 0 for no limit
+ * @param faults faults in order of time
  */
 public record SoakPlan(
         long seed,
@@ -31,15 +32,19 @@
         int queueLimit,
         int messageLimit,
         List<SoakFault> faults) {
-    /** Lines that a message costs beyond its own. */
+    /** Cost of a message beside its lines, in lines. */
     public static final int MESSAGE_OVERHEAD_LINES = 6;
 
     private static final double FIRST_FAULT = 1500;
-    private static final double RECOVERY = 6000; // ms at the end without a new fault
+
+    /** Time at the end without a new fault. */
+    private static final double RECOVERY = 6000;
+
+    private static final int MESSAGE_LIMIT = 12;
 
     /**
-     * The reproduction of incident 1: while a release takes three of ten endpoints in each of three
-     * steps, all governors but one are killed at once, and the one that lives inherits the fleet.
+     * Returns a plan that reproduces incident 1: while a release replaces endpoints step by step,
+     * all governors but one are killed at once, and the survivor takes over the fleet.
      */
     public static SoakPlan failover(long seed, int governors, int proxies) {
         int endpoints = 120;
@@ -58,19 +63,23 @@
                 proxies,
                 endpoints,
                 4000,
-                paceFor(proxies, 4000),
+                linesPerSecondFor(proxies, 4000),
                 20_000,
-                12,
+                MESSAGE_LIMIT,
                 faults);
     }
 
-    /** A soak with random, overlapping faults, about one in each interval of that many ms. */
+    /**
+     * Returns a plan with random, overlapping faults.
+     *
+     * @param interval mean time between two faults
+     */
     public static SoakPlan random(
             long seed, double duration, int governors, int proxies, double interval) {
         SplittableRandom random = new SplittableRandom(seed);
         int endpoints = 40 + random.nextInt(100);
         double grace = 3000 + random.nextInt(4000);
-        double linesPerSecond = paceFor(proxies, grace) * (1 + 0.3 * random.nextDouble());
+        double linesPerSecond = linesPerSecondFor(proxies, grace) * (1 + 0.3 * random.nextDouble());
         List<SoakFault> faults = new ArrayList<>();
         double at = FIRST_FAULT;
         while (at < duration - RECOVERY) {
@@ -87,15 +96,15 @@
                 grace,
                 linesPerSecond,
                 queueLimit,
-                12,
+                MESSAGE_LIMIT,
                 List.copyOf(faults));
     }
 
     /**
-     * A channel that lays ten lines to every proxy of the fleet in half of the grace, in lines a
-     * second.
+     * Returns the lines per second of a channel that carries ten lines to every proxy in half of
+     * the grace.
      */
-    private static double paceFor(int proxies, double grace) {
+    private static double linesPerSecondFor(int proxies, double grace) {
         return proxies * (10 + MESSAGE_OVERHEAD_LINES + 4) * 2 * 1000 / grace;
     }
 
@@ -139,7 +148,7 @@
         return others;
     }
 
-    /** From one governor up to all but one. */
+    /** Draws one governor at least, and all but one at most. */
     private static Set<Integer> chooseGovernors(SplittableRandom random, int governors) {
         int count = 1 + random.nextInt(Math.max(1, governors - 1));
         Set<Integer> chosen = new LinkedHashSet<>();
--- a/src/test/java/sprucelanding/simulation/soak/RecordedSoakReportTest.java
+++ b/src/test/java/sprucelanding/simulation/soak/RecordedSoakReportTest.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** What a soak prints of its result: the names of the rules, and the line of its figures. */
+/** The text of a soak's report: the names of the rules and the line of figures. */
 class RecordedSoakReportTest {
     @Test
     void rulesArePrintedByTheirNames() {
--- a/src/test/java/sprucelanding/simulation/soak/SoakTest.java
+++ b/src/test/java/sprucelanding/simulation/soak/SoakTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Random, overlapping faults over real governor processes; seeds on which the text before incident
- * 1 broke the drain rule.
+ * Random, overlapping faults on real governor processes, with seeds on which the version before
+ * incident 1 broke the drain rule.
  */
 class SoakTest {
     @ParameterizedTest
