--- a/src/main/java/sprucelanding/simulation/rules/ObservedFleet.java
+++ b/src/main/java/sprucelanding/simulation/rules/ObservedFleet.java
@@ -116,7 +116,7 @@
                 : Optional.empty();
     }
 
-    /** Returns the governors that were told of a ready endpoint that is warm by now. */
+    /** Returns the governors that know of a ready endpoint that is warm by now. */
     Set<Integer> governorsWithWarmEndpoint(double now, double warmupMillis) {
         Set<Integer> governors = new HashSet<>();
         endpointsByGovernor.forEach(
--- a/src/test/java/sprucelanding/simulation/expectation/ExpectationCheckerTest.java
+++ b/src/test/java/sprucelanding/simulation/expectation/ExpectationCheckerTest.java
@@ -81,7 +81,7 @@
 
     @Test
     void failureCausedByOneEndpointIsFoundAndNamed() throws Exception {
-        // Valid in form; but with one slow replica sign is left to that one.
+        // Valid in form; but with one slow endpoint, sign is left to that one.
         ExpectationChecker.CheckReport outcome =
                 check(
                         ", kinds: [\"slow\"]",
