--- /dev/null
+++ b/src/main/java/sprucelanding/control/delivery/Admission.java
@@ -0,0 +1,12 @@
+package sprucelanding.control.delivery;
+
+/**
+ * The admission of one request class on one table.
+ *
+ * @param level admitted share of requests, or requests a second where the site admits by rate
+ * @param retryMode retry policy for requests that are shed
+ */
+record Admission(double level, int retryMode) {
+    /** Admits all requests, whether levels are shares or rates. */
+    static final Admission ALL = new Admission(1e6, 0);
+}
--- a/src/main/java/sprucelanding/control/delivery/DeliveryActions.java
+++ b/src/main/java/sprucelanding/control/delivery/DeliveryActions.java
@@ -1,15 +1,18 @@
 package sprucelanding.control.delivery;
 
-/** What the host of a delivery can be told to do. */
+/** What a {@link Delivery} decides; its host carries it out, on the calling thread. */
 public interface DeliveryActions {
+    /** Sends a response to its proxy. */
     void send(ResourceUpdate update);
 
-    /** Ends the proxy's stream: it dials again, and is laid from what it then says it holds. */
+    /**
+     * Closes a stream: the proxy connects again and is sent what differs from what it then holds.
+     */
     void closeStream(ProxyStream stream, String reason);
 
-    /** All that was ordered up to this receipt is in force at the proxy, or refused by it. */
+    /** All orders that an acknowledgement was requested for are in force, or were rejected. */
     void acknowledged(ProxyStream stream, int serial);
 
-    /** One line for the log, with its figures as key and value in turn. */
+    /** Writes one line to the log; fields are keys and values in turn. */
     void log(String event, Object... fields);
 }
--- a/src/main/java/sprucelanding/control/delivery/ProxyStream.java
+++ b/src/main/java/sprucelanding/control/delivery/ProxyStream.java
@@ -1,159 +1,253 @@
 package sprucelanding.control.delivery;
 
 import java.util.ArrayDeque;
-import java.util.EnumMap;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.OptionalInt;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
 /**
- * One proxy's stream: what the proxy is known to hold, what is under way to it, and what it is
- * still owed.
+ * State of one proxy's stream: what the proxy subscribed to and is known to hold, the responses
+ * that it has not answered yet, and the names that are still to be sent. All of it belongs to the
+ * governor's thread, except {@link #lease()}, which any thread may ask for.
  */
 public final class ProxyStream {
-    public final int proxyId;
-
-    /** It takes changes; else the whole state of a kind each time. */
-    public final boolean incremental;
-
-    /** It takes changes of all kinds in one edit. */
-    final boolean transactional;
-
-    /** What the front needs to reach it. */
-    public final Object transport;
-
-    /** Versions acknowledged, or told by the proxy when it dialled. */
-    final Map<ResourceName, String> acknowledgedVersions = new HashMap<>();
-
-    /** What it refused: never sent again in the same version. */
-    final Map<ResourceName, String> rejectedVersions = new HashMap<>();
-
-    /** Names to look at again, with the stamp of the oldest order that touched each. */
-    final Map<ResourceType, LinkedHashMap<ResourceName, Long>> pendingByType =
-            new EnumMap<>(ResourceType.class);
-
-    final TreeMap<Long, ResourceUpdate> unansweredUpdates = new TreeMap<>();
-
-    /** By product, the table it was put on. */
-    final TreeMap<Integer, Integer> tableByClass = new TreeMap<>();
+    /** How a proxy takes what it is sent. */
+    public enum UpdateMode {
+        /** Changes, type by type (incremental xDS). */
+        CHANGES,
+        /** The whole state of a type each time (state-of-the-world xDS). */
+        WHOLE,
+        /** Changes of all types in one edit, taken or left as a whole; one edit at a time. */
+        EDITS
+    }
 
     /**
-     * Tables whose endpoints, and whose lines, it asked for; and whether it asked for clusters and
-     * the route.
+     * Permission to write to the proxy.
+     *
+     * @param until when the last write may leave, ms on this governor's clock
+     * @param epoch epoch under which the proxy is owned
      */
-    final Set<Integer> subscribedEndpointTables = new TreeSet<>();
-
-    final Set<Integer> subscribedEntryTables = new TreeSet<>();
-    boolean subscribedToClusters;
-    boolean subscribedToRoute;
+    public record Lease(double until, long epoch) {
+        /** Whether a write may leave at this time, ms on this governor's clock. */
+        public boolean isValidAt(double now) {
+            return now < until;
+        }
+    }
 
-    /** Receipts asked for: serial and the stamp up to which all must be settled. */
-    final ArrayDeque<long[]> acknowledgementRequests = new ArrayDeque<>();
+    /** Where a stream stands: CONNECTED to ADMITTED; either to CLOSED, which is final. */
+    private enum Phase {
+        CONNECTED,
+        ADMITTED,
+        CLOSED
+    }
 
-    /** When messages were sent, oldest first. */
-    final ArrayDeque<Double> sendTimes = new ArrayDeque<>();
+    /** The proxy's number. */
+    public final int proxyId;
 
-    /** It drains lines that must go before anything else. */
-    boolean urgent;
+    /** Whether the proxy takes changes; else it is sent the whole state of a type each time. */
+    public final boolean incremental;
 
-    boolean behind;
-    boolean admitted;
-    boolean closed;
+    /** What the front needs to reach the proxy. */
+    public final Object transport;
 
-    /** After a refusal, at most so many names go in one message until one gets through. */
-    int maxNamesPerUpdate = Integer.MAX_VALUE;
+    private final boolean transactional;
+    private final Subscriptions subscriptions = new Subscriptions();
+    private final HeldResources held = new HeldResources();
+    private final PendingNames pending = new PendingNames();
+    private final UnansweredUpdates unanswered = new UnansweredUpdates();
+    private final MessageWindow messageWindow = new MessageWindow();
+    private final TreeMap<Integer, Integer> tableByClass = new TreeMap<>();
+    private final ArrayDeque<AcknowledgementRequest> acknowledgementRequests = new ArrayDeque<>();
+    private Phase phase = Phase.CONNECTED;
+    private boolean urgent;
+    private boolean behind;
+
+    /** After a rejection, names in one response until one is accepted. */
+    private int maxNamesPerUpdate = Integer.MAX_VALUE;
 
     private volatile Lease lease = new Lease(Double.POSITIVE_INFINITY, 0);
 
-    /** How a proxy takes what it is sent. */
-    public enum UpdateMode {
-        /** Changes, kind by kind. */
-        CHANGES,
-        /** The whole state of a kind each time. */
-        WHOLE,
-        /** Changes of all kinds in one edit, taken or left as a whole; one edit at a time. */
-        EDITS
-    }
-
+    /**
+     * Creates a stream that has just connected.
+     *
+     * @param id the proxy's number
+     * @param mode how the proxy takes what it is sent
+     * @param transport what the front needs to reach the proxy
+     */
     public ProxyStream(int id, UpdateMode mode, Object transport) {
         this.proxyId = id;
         this.incremental = mode != UpdateMode.WHOLE;
         this.transactional = mode == UpdateMode.EDITS;
         this.transport = transport;
-        for (ResourceType type : ResourceType.values()) {
-            pendingByType.put(type, new LinkedHashMap<>());
-        }
     }
 
     /**
-     * Until when this governor may write to the proxy, on its own clock, and under which epoch.
-     * Without other governors nobody calls this: it may, under epoch 0.
+     * Permits writes to the proxy. Without other governors this is never called: writes are
+     * permitted for ever, under epoch 0.
+     *
+     * @param until when the last write may leave, ms on this governor's clock
+     * @param epoch epoch under which the proxy is owned
      */
     public void leaseGranted(double until, long epoch) {
         lease = new Lease(until, epoch);
     }
 
-    /** Nothing may be written to the proxy until a lease says so. */
+    /** Permits no writes to the proxy until the next lease is granted. */
     public void leaseWithdrawn() {
         lease = new Lease(Double.NEGATIVE_INFINITY, lease.epoch);
     }
 
     /**
-     * To be asked right before each write, by whatever thread writes: a governor that stood still
-     * may own the proxy no longer. What is written then goes under the epoch of this very answer.
+     * The current lease, to be asked for right before each write by the thread that writes: a
+     * governor that was suspended may have lost the proxy. The write goes under the epoch of this
+     * very lease.
      */
     public Lease lease() {
         return lease;
     }
 
-    /** Until when a write may leave, ms on the own clock, and under which epoch. */
-    public record Lease(double until, long epoch) {
-        public boolean isValidAt(double now) {
-            return now < until;
-        }
-    }
-
-    /** Whether a name was acknowledged, by this version or another. */
+    /** Whether the proxy holds a resource, in whatever version. */
     public boolean hasAcknowledged(ResourceName name) {
-        return acknowledgedVersions.containsKey(name);
+        return held.contains(name);
     }
 
+    /** Whether any request class is bound to a table here. */
     public boolean isBound() {
         return !tableByClass.isEmpty();
     }
 
-    /** What it acknowledged of a name, or null. */
+    /** The version of a resource that the proxy holds; null if it holds none. */
     public String acknowledgedVersion(ResourceName name) {
-        return acknowledgedVersions.get(name);
+        return held.version(name);
+    }
+
+    /** Whether it takes changes of all types in one edit. */
+    boolean isTransactional() {
+        return transactional;
+    }
+
+    Subscriptions subscriptions() {
+        return subscriptions;
+    }
+
+    HeldResources held() {
+        return held;
+    }
+
+    PendingNames pending() {
+        return pending;
+    }
+
+    UnansweredUpdates unanswered() {
+        return unanswered;
+    }
+
+    MessageWindow messageWindow() {
+        return messageWindow;
+    }
+
+    void bind(int requestClass, int table) {
+        tableByClass.put(requestClass, table);
+    }
+
+    boolean isBoundTo(int table) {
+        return tableByClass.containsValue(table);
+    }
+
+    /** The table that serves a request class; empty if it is not bound. */
+    OptionalInt tableOf(int requestClass) {
+        Integer table = tableByClass.get(requestClass);
+        return table == null ? OptionalInt.empty() : OptionalInt.of(table);
+    }
+
+    /** Tables by request class. */
+    Map<Integer, Integer> bindings() {
+        return tableByClass;
+    }
+
+    /** All tables that serve a request class, in ascending order; a copy. */
+    Set<Integer> boundTables() {
+        return new TreeSet<>(tableByClass.values());
+    }
+
+    void admit() {
+        if (phase == Phase.CONNECTED) {
+            phase = Phase.ADMITTED;
+        }
+    }
+
+    void close() {
+        phase = Phase.CLOSED;
+    }
+
+    boolean isAdmitted() {
+        return phase == Phase.ADMITTED;
     }
 
-    boolean hasUnanswered(ResourceType type) {
-        return unansweredUpdates.values().stream().anyMatch(update -> update.type == type);
+    boolean isClosed() {
+        return phase == Phase.CLOSED;
     }
 
-    /** Whether a name is under way or still owed. */
+    /** Removals are sent before anything else. */
+    void markUrgent() {
+        urgent = true;
+    }
+
+    void clearUrgent() {
+        urgent = false;
+    }
+
+    boolean isUrgent() {
+        return urgent;
+    }
+
+    /** Whether it has been logged that answers are late. */
+    boolean isBehind() {
+        return behind;
+    }
+
+    void markBehind() {
+        behind = true;
+    }
+
+    /** An answer arrived: the proxy is no longer behind if it was the last one due. */
+    void answered() {
+        behind &= !unanswered.isEmpty();
+    }
+
+    int maxNamesPerUpdate() {
+        return maxNamesPerUpdate;
+    }
+
+    void limitNamesPerUpdate(int maxNames) {
+        maxNamesPerUpdate = maxNames;
+    }
+
+    void requestAcknowledgement(AcknowledgementRequest request) {
+        acknowledgementRequests.add(request);
+    }
+
+    boolean awaitsAcknowledgement() {
+        return !acknowledgementRequests.isEmpty();
+    }
+
+    /** Takes out the next request whose orders are all older than this; null if there is none. */
+    AcknowledgementRequest pollSettledRequest(long oldestUnsettledOrder) {
+        AcknowledgementRequest next = acknowledgementRequests.peek();
+        return next != null && next.orderStamp() < oldestUnsettledOrder
+                ? acknowledgementRequests.poll()
+                : null;
+    }
+
+    /** Whether a name is pending or part of an unanswered response. */
     boolean isUnsettled(ResourceName name) {
-        return pendingByType.get(name.type()).containsKey(name)
-                || unansweredUpdates.values().stream()
-                        .anyMatch(update -> update.orderStampByName.containsKey(name));
+        return pending.contains(name) || unanswered.contains(name);
     }
 
-    /** The oldest order that is not settled; none: the largest number there is. */
+    /** The oldest order that is not settled; {@link Long#MAX_VALUE} if all are. */
     long oldestUnsettledOrder() {
-        long oldest = Long.MAX_VALUE;
-        for (LinkedHashMap<ResourceName, Long> names : pendingByType.values()) {
-            for (long stamp : names.values()) {
-                oldest = Math.min(oldest, stamp);
-            }
-        }
-        for (ResourceUpdate update : unansweredUpdates.values()) {
-            for (long stamp : update.orderStampByName.values()) {
-                oldest = Math.min(oldest, stamp);
-            }
-        }
-        return oldest;
+        return Math.min(pending.oldestStamp(), unanswered.oldestStamp());
     }
 }
--- a/src/main/java/sprucelanding/control/delivery/ResourceType.java
+++ b/src/main/java/sprucelanding/control/delivery/ResourceType.java
@@ -1,13 +1,16 @@
 package sprucelanding.control.delivery;
 
-/** Kinds of resources, in the order in which they are made; they are unmade the other way round. */
+/**
+ * Types of resources, in the order in which they are added; they are removed in the opposite order.
+ * The constants' names are logged and stored.
+ */
 public enum ResourceType {
-    /** A table, without its lines. */
+    /** A table, without its entries (CDS). */
     CLUSTER,
-    /** Where a table's lines are found; on a whole-state stream, the lines themselves. */
+    /** Where a table's entries are found; on a state-of-the-world stream the entries (EDS). */
     ENDPOINTS,
-    /** One replica's line in a table. */
+    /** One endpoint's entry in a table (LEDS). */
     LINE,
-    /** Which table serves which product, what is let in and when a proxy tries again. */
+    /** Which table serves which request class, its admission and its retries (RDS). */
     ROUTE
 }
--- a/src/main/java/sprucelanding/control/delivery/RoutingResource.java
+++ b/src/main/java/sprucelanding/control/delivery/RoutingResource.java
@@ -4,12 +4,18 @@
 import java.util.function.Function;
 
 /**
- * A resource as it is to be held. Its version tells its content, so that whatever governor wrote
- * it, another sees whether a proxy holds it already. Many proxies are sent the same item, which
- * keeps the words that a front found for it.
+ * A resource as a proxy should hold it. The version tells the content, so that a governor sees
+ * whether a proxy holds a resource already that another governor wrote. Many proxies are sent the
+ * same object, which caches the fronts' encodings of it.
  */
 public final class RoutingResource {
-    /** A line: its weight, at least 1, and whether the replica only finishes what it has. */
+    /**
+     * One endpoint of a table.
+     *
+     * @param endpointId the endpoint's number
+     * @param weight at least 1
+     * @param draining whether the endpoint is sent no new requests
+     */
     public record EndpointEntry(long endpointId, int weight, boolean draining) {
         String version() {
             return (draining ? "d" : "w") + weight;
@@ -17,8 +23,12 @@
     }
 
     /**
-     * One product's part of the route: letIn is a share below 1, or txns a second where the site
-     * admits by rate.
+     * The route of one request class.
+     *
+     * @param requestClass index of the request class
+     * @param table the table that serves it
+     * @param admittedLevel admitted share, or requests a second where the site admits by rate
+     * @param retryMode retry policy for requests that are shed
      */
     public record RouteRule(int requestClass, int table, double admittedLevel, int retryMode) {
         String version() {
@@ -26,13 +36,17 @@
                     + ":"
                     + table
                     + ":"
-                    + Math.round(admittedLevel * 1e4)
+                    + Math.round(admittedLevel * LEVEL_STEPS)
                     + ":"
                     + retryMode;
         }
     }
 
     private static final int ENCODING_FORMS = 4;
+
+    /** Levels are told apart in steps of 1/10,000. */
+    private static final double LEVEL_STEPS = 1e4;
+
     private final ResourceName name;
     private final String version;
     private final List<EndpointEntry> entries;
@@ -47,27 +61,42 @@
         this.rules = rules;
     }
 
+    /** The entry of one endpoint in a table. */
+    static RoutingResource entry(ResourceName name, int weight, boolean draining) {
+        EndpointEntry entry = new EndpointEntry(name.endpointId(), weight, draining);
+        return new RoutingResource(name, entry.version(), List.of(entry), List.of());
+    }
+
+    /** The name of the resource. */
     public ResourceName name() {
         return name;
     }
 
+    /** The version, which tells the content. */
     public String version() {
         return version;
     }
 
-    /** Of a line itself, or of endpoints on a whole-state stream; else none. */
+    /** One for an entry, all for endpoints on a state-of-the-world stream; else none. */
     public List<EndpointEntry> entries() {
         return entries;
     }
 
-    /** Of the route; else none. */
+    /** The rules of the route; else none. */
     public List<RouteRule> rules() {
         return rules;
     }
 
+    /** Whether it is the entry of an endpoint that drains. */
+    boolean isDrainingEntry() {
+        return name.type() == ResourceType.LINE && entries.get(0).draining();
+    }
+
     /**
-     * What a front says for it, found once for each form; two threads may both find it, with the
-     * same result.
+     * A front's encoding of the resource, made once for each form. Called by several threads
+     * without a lock: two may both make it, with the same result.
+     *
+     * @param form number of the encoding, below 4
      */
     @SuppressWarnings("unchecked")
     public <T> T encoded(int form, Function<RoutingResource, T> encoder) {
--- a/src/main/java/sprucelanding/control/delivery/StreamAdmission.java
+++ b/src/main/java/sprucelanding/control/delivery/StreamAdmission.java
@@ -8,15 +8,21 @@
 import java.util.TreeSet;
 
 /**
- * Which streams are let in, and when. After a governor's restart all proxies dial within two
- * seconds; each that is let in costs a table. So at most some are being laid at once, and the
- * others wait with the tables they hold: those that hold none come first, then those that dialled
- * first. Past the bounds a stream is turned away, to try another governor.
+ * Decides which streams are admitted, and when. After a governor's restart all proxies connect
+ * within two seconds, and each that is admitted costs a table. So a limited number is initialized
+ * at a time, and the others wait with the tables that they hold: those without tables come first,
+ * then those that connected first. Past the limits a stream is rejected, to try another governor.
+ *
+ * <p>Called from one thread: {@link #setTime}, then what happened, then {@link #decide} until it
+ * returns false.
  */
 public final class StreamAdmission {
+    /** What is decided; the host carries it out. */
     public interface Actions {
+        /** Begins to send to the proxy. */
         void admit(int proxyId);
 
+        /** Closes the proxy's stream. */
         void reject(int proxyId, String reason);
     }
 
@@ -38,9 +44,11 @@
     private double now;
 
     /**
-     * @param atOnce streams that are being laid at a time
-     * @param most streams in all
-     * @param longestWait ms
+     * Creates an admission without streams.
+     *
+     * @param maxInitializing streams that are initialized at a time
+     * @param maxStreams streams in all, admitted or waiting
+     * @param maxWaitMillis ms after which a waiting stream is rejected
      */
     public StreamAdmission(int maxInitializing, int maxStreams, double maxWaitMillis) {
         this.maxInitializing = maxInitializing;
@@ -48,10 +56,12 @@
         this.maxWaitMillis = maxWaitMillis;
     }
 
+    /** Sets the time of all that is called next, ms on the host's clock. */
     public void setTime(double now) {
         this.now = now;
     }
 
+    /** A proxy connected; a former stream of the same proxy is over. */
     public void proxyConnected(int proxyId, boolean withoutTables) {
         proxyDisconnected(proxyId);
         WaitingStream candidate = new WaitingStream(proxyId, withoutTables, now, nextSequence++);
@@ -62,11 +72,12 @@
         }
     }
 
-    /** Its first orders are in force: another may come in. */
+    /** The proxy's first orders are in force: another may be admitted. */
     public void proxyInitialized(int proxyId) {
         initializing.remove(proxyId);
     }
 
+    /** The proxy's stream has ended; one that is not known is ignored. */
     public void proxyDisconnected(int proxyId) {
         waitingStreams.removeIf(candidate -> candidate.proxyId == proxyId);
         overLimit.removeIf(candidate -> candidate.proxyId == proxyId);
@@ -74,10 +85,12 @@
         admitted.remove(proxyId);
     }
 
+    /** Streams that wait to be admitted. */
     public int waitingCount() {
         return waitingStreams.size();
     }
 
+    /** Takes one decision; false if there is none now. */
     public boolean decide(Actions actions) {
         if (!overLimit.isEmpty()) {
             actions.reject(overLimit.remove(0).proxyId, "more than " + maxStreams + " streams");
--- a/src/main/java/sprucelanding/control/delivery/package-info.java
+++ b/src/main/java/sprucelanding/control/delivery/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Decides, for each proxy, what it is known to hold, what is under way to it and what goes next;
- * and which streams are let in when many dial at once. No I/O and no clock of its own: the host
- * tells what happened and pulls decisions one by one until there is none. It serves every front;
- * the kinds and their order are those of xDS, make before break.
+ * Decides, for each proxy, what it should hold, what is sent next and in which order (make before
+ * break, as xDS asks for), and which streams are admitted when many connect at once; keeps what
+ * each is known to hold and what it has not answered. No I/O and no clock of its own: the host
+ * passes events in and pulls decisions one by one until there is none, all on one thread. {@link
+ * sprucelanding.control.delivery.Delivery} serves every front.
  */
 package sprucelanding.control.delivery;
--- a/src/test/java/sprucelanding/control/delivery/TestUpdates.java
+++ b/src/test/java/sprucelanding/control/delivery/TestUpdates.java
@@ -13,7 +13,7 @@
                 lines.entrySet().stream()
                         .map(
                                 entry ->
-                                        ResourceCatalog.newEntry(
+                                        RoutingResource.entry(
                                                 ResourceName.entry(0, entry.getKey()),
                                                 Integer.parseInt(entry.getValue().substring(1)),
                                                 entry.getValue().startsWith("d")))
@@ -22,7 +22,7 @@
                 id,
                 null,
                 null,
-                false,
+                ResourceUpdate.Scope.CHANGES,
                 items,
                 gone.stream().map(endpointId -> ResourceName.entry(0, endpointId)).toList(),
                 0,
@@ -35,7 +35,7 @@
                 id,
                 stream,
                 ResourceType.CLUSTER,
-                false,
+                ResourceUpdate.Scope.CHANGES,
                 List.of(new RoutingResource(ResourceName.cluster(0), "1", List.of(), List.of())),
                 List.of(),
                 0,
