--- a/src/main/java/sprucelanding/control/core/DirectInput.java
+++ b/src/main/java/sprucelanding/control/core/DirectInput.java
@@ -5,7 +5,11 @@
 import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.RoutingController;
 
-/** Straight to the module. */
+/**
+ * Passes each call on to the controller.
+ *
+ * @param controller the controller
+ */
 public record DirectInput(RoutingController controller) implements ControllerInput {
     @Override
     public void setTime(double now) {
--- a/src/main/java/sprucelanding/control/core/GovernorCore.java
+++ b/src/main/java/sprucelanding/control/core/GovernorCore.java
@@ -1,145 +1,71 @@
 package sprucelanding.control.core;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.BitSet;
-import java.util.HashMap;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.function.BooleanSupplier;
+import java.util.stream.Stream;
 import sprucelanding.control.decision.AdmissionMode;
-import sprucelanding.control.decision.ControllerOutput;
-import sprucelanding.control.decision.DecisionEvent;
-import sprucelanding.control.decision.Endpoint;
-import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.HealthCheckResult;
-import sprucelanding.control.decision.Proxy;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.delivery.Delivery;
-import sprucelanding.control.delivery.DeliveryActions;
 import sprucelanding.control.delivery.ProxyStream;
 import sprucelanding.control.delivery.ResourceName;
 import sprucelanding.control.delivery.ResourceType;
-import sprucelanding.control.delivery.ResourceUpdate;
 import sprucelanding.control.delivery.StreamAdmission;
 import sprucelanding.control.discovery.EndpointList;
-import sprucelanding.control.discovery.ListedEndpoint;
 import sprucelanding.control.loadreport.LoadReport;
 import sprucelanding.control.loadreport.LoadReportAggregator;
-import sprucelanding.control.loadreport.LoadReportSink;
 
 /**
- * A governor without its sockets. The host tells what happened, all from one thread, and calls
- * settle after each batch: that takes the inputs of Choice, then pulls decisions until there is
- * none: from Admission who is let in, from Choice its orders, from Delivery the messages. What
- * Choice orders in one settling is one moment.
+ * A governor without its sockets. The host passes in what happened, all from one thread, and calls
+ * {@link #processBatch} after each batch of events. That pulls decisions until there is none: from
+ * the admission which streams begin, from the controller its orders, from the delivery the
+ * responses. The orders of one call are one batch. Times are ms on the host's clock.
+ *
+ * <p>This class has the order of the steps. {@link DiscoveryHandler} has the endpoint list, {@link
+ * ProxyConnections} the proxies; {@link ControllerOutputHandler} and {@link DeliveryActionHandler}
+ * carry out what was decided.
  */
 public final class GovernorCore {
-    /** What a governor needs of the world. Times are ms on one clock that never goes back. */
-    public interface Host {
-        double now();
+    /** The name of {@link GovernorHost} for hosts that were written before it had its own file. */
+    public interface Host extends GovernorHost {}
 
-        void schedule(double time, Runnable step);
+    /** ms between checks for proxies that do not answer. */
+    private static final double STREAM_CHECK_INTERVAL_MILLIS = 100;
 
-        /** Way is what the host gave when the proxy dialled. */
-        void send(Object transport, ResourceUpdate update);
-
-        /** Ends a stream; busy: only because there are too many. */
-        void closeStream(Object transport, ProxyStream stream, boolean busy, String reason);
-
-        /** Its answer comes as probed. */
-        void startHealthCheck(ListedEndpoint endpoint);
-
-        void broadcastToPeers(byte[] payload);
-
-        void watchEndpointList();
-
-        /** A moment's orders are in force at a proxy, so many ms after they were decided. */
-        void batchAcknowledged(Object transport, double delayMillis);
-
-        void endpointListed(ListedEndpoint endpoint);
-
-        /** What own proxies met at a replica within a period, as Choice was told. */
-        default void endpointStatsReported(
-                long endpointId, int attempts, int failed, double responseMillis, double load) {}
-
-        /** One line, with its figures as key and value in turn. */
-        void log(String event, Object... fields);
-
-        /** A decision threw: the tables in force stay, and the next event tries again. */
-        void decisionFailed(RuntimeException e);
-    }
-
-    private static final double STREAM_CHECK_INTERVAL_MILLIS =
-            100; // ms between looks at who is behind
-    private static final int ACKNOWLEDGEMENT_SERIALS = 65_536;
-
-    private record ProxyConnection(
-            Object transport,
-            ProxyStream stream,
-            String zone,
-            double baselineDemand,
-            boolean withoutTables,
-            boolean[] admitted) {}
-
-    private final Host host;
+    private final GovernorHost host;
     private final RoutingController controller;
     private final ControllerInput input;
-    private final InputListener listener;
-    private final List<String> zones;
     private final Delivery delivery;
     private final StreamAdmission admission;
     private final LoadReportAggregator loadReports;
-    private final EndpointList endpointList;
-    private final boolean healthChecksEnabled;
-    private final double wallOffset;
-    private final Map<Long, ListedEndpoint> endpointsById = new HashMap<>();
-
-    /** Those that dialled, waiting or in, by number. */
-    private final Map<Integer, ProxyConnection> connectionsByProxy = new HashMap<>();
-
-    /**
-     * Replicas that are not probed after all: their answers come once the decision under way is
-     * done.
-     */
-    private final ArrayDeque<Long> uncheckedEndpoints = new ArrayDeque<>();
-
-    private final OutputHandler outputHandler = new OutputHandler();
-    private final ActionHandler actionHandler = new ActionHandler();
-
-    /** When the moment of each receipt was. */
-    private final double[] batchTimeBySerial = new double[ACKNOWLEDGEMENT_SERIALS];
-
-    private double batchTime;
-    private boolean batchHasOrders;
-    private boolean batchHasAnswers;
-    private boolean acknowledgementReceived;
-    private boolean watchRequested;
-
-    /** None was told yet, nor kept from before. */
-    private boolean awaitingFirstList = true;
-
-    private long orderCount;
-    private double longestBatchMillis;
-
-    /**
-     * Lines that Choice's model of the channel holds: the most, and how far above and below those
-     * unanswered.
-     */
-    private double maxModelEntries;
+    private final Batch batch = new Batch();
+    private final GovernorMetrics metrics = new GovernorMetrics();
+    private final DiscoveryHandler discovery;
+    private final ProxyConnections proxies;
+    private final HealthCheckDispatcher healthChecks;
+    private final ControllerOutputHandler outputHandler;
+    private final DeliveryActionHandler actionHandler;
 
-    private double maxModelExcess;
-    private double maxModelShortfall;
+    /** Answers came since the last batch. */
+    private boolean answersReceived;
 
     /**
-     * @param choice the module, for its figures
-     * @param inputs the same, or one that overhears and passes on
-     * @param wallOffset what a wall clock's ms have to lose to be the host's
+     * Creates a core; {@link #start} sets it to work.
+     *
+     * @param controller for its figures
+     * @param input the way to the controller, which may be recorded
+     * @param listener told of events that do not reach the controller
+     * @param zones names of zones, by index
+     * @param machineKinds names of kinds of machines, by index
+     * @param healthChecksEnabled whether endpoints can be checked; else the controller is told that
+     *     checks were not performed
+     * @param wallOffset ms to subtract from a wall clock's time for the host's
      */
     public GovernorCore(
-            Host host,
+            GovernorHost host,
             RoutingController controller,
             ControllerInput input,
             InputListener listener,
@@ -153,17 +79,20 @@
         this.host = host;
         this.controller = controller;
         this.input = input;
-        this.listener = listener;
-        this.zones = zones;
-        this.healthChecksEnabled = healthChecksEnabled;
-        this.wallOffset = wallOffset;
         this.delivery = delivery;
         this.admission = admission;
         this.loadReports = loadReports;
-        this.endpointList = new EndpointList(zones, machineKinds);
+        EndpointList endpointList = new EndpointList(zones, machineKinds);
+        discovery = new DiscoveryHandler(host, input, listener, endpointList, wallOffset);
+        proxies =
+                new ProxyConnections(
+                        host, input, listener, zones, delivery, admission, loadReports);
+        healthChecks = new HealthCheckDispatcher(host, input, discovery, healthChecksEnabled);
+        outputHandler = new ControllerOutputHandler(host, input, delivery, healthChecks, batch);
+        actionHandler = new DeliveryActionHandler(host, input, listener, proxies, batch);
     }
 
-    /** Seeded, so that the same events give the same orders. */
+    /** Creates a controller; with the same seed the same events give the same orders. */
     public static RoutingController newController(
             long seed, RequestClass[] requestClasses, int zoneCount, AdmissionMode admissionMode) {
         return new RoutingController(
@@ -171,9 +100,11 @@
     }
 
     /**
-     * @param kept the list as it was kept from before, or null
-     * @param watches the list comes unasked
-     * @param every ms between the sums that Choice is told
+     * Starts the periodic work.
+     *
+     * @param savedList the endpoint list as it was saved before, or null
+     * @param pushed whether the list comes unasked
+     * @param periodMillis ms between the sums of load reports that the controller is told
      */
     public void start(String savedList, boolean pushed, double periodMillis) {
         input.setTime(host.now());
@@ -183,11 +114,12 @@
         if (pushed) {
             outputHandler.watchEndpointList();
         }
+        LoadReportHandler reportHandler = new LoadReportHandler(host, input);
         scheduleEvery(
                 periodMillis,
                 () -> {
                     input.setTime(host.now());
-                    loadReports.periodElapsed(actionHandler);
+                    loadReports.periodElapsed(reportHandler);
                 });
         scheduleEvery(
                 STREAM_CHECK_INTERVAL_MILLIS,
@@ -206,81 +138,47 @@
                 });
     }
 
-    // The list.
+    // Endpoints.
 
+    /** The connection to discovery was opened. */
     public void discoveryConnected() {
-        endpointList.connectionOpened();
-        host.log("the roster is heard");
+        discovery.connected();
     }
 
     /**
-     * Takes a told list, unless it is no newer than what is known. False: it was refused, and
-     * nothing of it was taken.
+     * Takes in an endpoint list, unless it is no newer than what is known.
+     *
+     * @return false if it is invalid; then nothing of it was taken
      */
     public boolean endpointListReceived(String json) {
-        try {
-            EndpointList.ListUpdate update = endpointList.update(json);
-            if (update != null) {
-                applyEndpointList(update);
-            }
-            return true;
-        } catch (EndpointList.InvalidEndpointListException e) {
-            host.log("a list is refused", "why", e.getMessage());
-            return false;
-        }
-    }
-
-    private void applyEndpointList(EndpointList.ListUpdate update) {
-        double now = host.now();
-        input.setTime(now);
-        input.endpointListStarted(update.complete(), awaitingFirstList);
-        for (ListedEndpoint endpoint : update.entries()) {
-            endpointsById.put(endpoint.id(), endpoint);
-            host.endpointListed(endpoint);
-            listener.endpointListed(now, endpoint);
-            input.endpointListed(
-                    endpoint.id(),
-                    endpoint.zone(),
-                    endpoint.machineKind(),
-                    endpoint.weight(),
-                    endpoint.startedAt() == 0 ? 0 : endpoint.startedAt() - wallOffset,
-                    switch (endpoint.state()) {
-                        case READY -> EndpointState.AVAILABLE;
-                        case DRAINING -> EndpointState.DRAINING;
-                        case GONE -> EndpointState.GONE;
-                    });
-        }
-        input.endpointListCompleted();
-        host.log(
-                awaitingFirstList ? "begins with a list" : "list told",
-                "version",
-                update.version(),
-                "whole",
-                update.complete(),
-                "entries",
-                update.entries().size());
-        awaitingFirstList = false;
+        return discovery.received(json);
     }
 
-    /** All of the list as it is known, to be kept. */
+    /** All of the list as it is known, as JSON, to be saved. */
     public String endpointListText() {
-        return endpointList.toJson();
+        return discovery.listText();
     }
 
+    /**
+     * The endpoint list cannot be had.
+     *
+     * @param pushed whether the list comes unasked; else the controller asks again
+     */
     public void discoveryFailed(String reason, boolean pushed) {
-        host.log("the roster is not heard", "why", reason);
-        if (!pushed) {
-            input.setTime(host.now());
-            input.endpointListFailed();
-        }
+        discovery.failed(reason, pushed);
     }
 
+    /**
+     * A health check ended.
+     *
+     * @param load the load that the endpoint reported; NaN if none
+     */
     public void healthCheckCompleted(long endpointId, HealthCheckResult result, double load) {
         input.setTime(host.now());
         input.healthCheckCompleted(endpointId, result, load);
     }
 
-    /** What another governor's proxies met at a replica: taken as if own ones had. */
+    /** Another governor's proxies reported on an endpoint; taken as if own ones had. */
     public void peerStatsReported(
             long endpointId, int attempts, int failed, double responseMillis, double load) {
         input.setTime(host.now());
@@ -289,6 +187,15 @@
 
     // Proxies.
 
+    /**
+     * A proxy connected; it waits to be admitted.
+     *
+     * @param transport what the host needs to reach it
+     * @param name the proxy's name
+     * @param zone name of its zone; index 0 stands for an unknown one
+     * @param baselineDemand expected requests a second
+     * @param withoutTables whether it holds no orders from before
+     */
     public void proxyConnected(
             Object transport,
             ProxyStream stream,
@@ -296,44 +203,29 @@
             String zone,
             double baselineDemand,
             boolean withoutTables) {
-        removeProxy(stream.proxyId);
-        listener.proxyNamed(host.now(), stream.proxyId, name);
-        connectionsByProxy.put(
-                stream.proxyId,
-                new ProxyConnection(
-                        transport, stream, zone, baselineDemand, withoutTables, new boolean[1]));
-        admission.setTime(host.now());
-        admission.proxyConnected(stream.proxyId, withoutTables);
+        proxies.connected(
+                stream,
+                name,
+                new ProxyConnection.ProxyParameters(
+                        transport, zone, baselineDemand, withoutTables));
     }
 
+    /** A proxy reports what it holds. */
     public void heldVersionsReported(ProxyStream stream, Map<ResourceName, String> versions) {
         versions.forEach((name, version) -> delivery.heldVersionReported(stream, name, version));
     }
 
+    /** All that a proxy holds was read. */
     public void fullStateRead(ProxyStream stream, Map<ResourceName, String> versions) {
         delivery.fullStateRead(stream, versions);
     }
 
+    /** A stream ended; one that the proxy has replaced already is ignored. */
     public void proxyDisconnected(ProxyStream stream) {
-        ProxyConnection connection = connectionsByProxy.get(stream.proxyId);
-        if (connection != null && connection.stream == stream) {
-            removeProxy(stream.proxyId);
-        }
-    }
-
-    private void removeProxy(int proxyId) {
-        ProxyConnection connection = connectionsByProxy.remove(proxyId);
-        if (connection != null) {
-            admission.proxyDisconnected(proxyId);
-            delivery.proxyDisconnected(proxyId);
-            loadReports.proxyLeft(proxyId);
-            if (connection.admitted[0]) {
-                input.setTime(host.now());
-                input.proxyLeft(proxyId);
-            }
-        }
+        proxies.disconnected(stream);
     }
 
+    /** A proxy subscribes, or ends a subscription; the table matters for entries and endpoints. */
     public void subscriptionChanged(
             ProxyStream stream, ResourceType type, int table, boolean subscribed) {
         if (subscribed) {
@@ -343,265 +235,63 @@
         }
     }
 
+    /**
+     * A proxy answered a response.
+     *
+     * @param rejection why it was rejected; null if it was accepted
+     */
     public void updateAnswered(ProxyStream stream, long updateId, String rejection) {
-        double now = host.now();
-        listener.updateAnswered(now, stream.proxyId, updateId, rejection);
-        delivery.setTime(now);
-        batchHasAnswers = true;
-        if (rejection == null) {
-            delivery.updateAccepted(stream, updateId);
-        } else {
-            delivery.updateRejected(stream, updateId, rejection);
-        }
-        if (stream.hasAcknowledged(ResourceName.ROUTE)) {
-            admission.proxyInitialized(stream.proxyId);
-        }
+        answersReceived = true;
+        proxies.updateAnswered(stream, updateId, rejection);
     }
 
+    /** A load report arrived; those of proxies that are not admitted are ignored. */
     public void loadReported(LoadReport report) {
-        ProxyConnection connection = connectionsByProxy.get(report.proxyId());
-        if (connection != null && connection.admitted[0]) {
-            listener.loadReported(host.now(), report);
-            loadReports.accept(report);
-        }
+        proxies.loadReported(report);
     }
 
     // Decisions.
 
+    /** Decides on all that happened since the last call. */
     public void processBatch() {
-        batchTime = host.now();
-        admission.setTime(batchTime);
-        runUntilIdle(() -> admission.decide(actionHandler));
-        input.setTime(batchTime);
-        batchHasOrders = false;
-        delivery.setTime(batchTime);
-        do { // a receipt makes room for what waited
-            acknowledgementReceived = false;
-            runUntilIdle(() -> input.decide(outputHandler));
-            while (!uncheckedEndpoints.isEmpty()) {
-                input.healthCheckCompleted(
-                        uncheckedEndpoints.poll(), HealthCheckResult.NOT_PERFORMED, Double.NaN);
-                acknowledgementReceived = true;
+        double now = host.now();
+        batch.begin(now);
+        admission.setTime(now);
+        DecisionLoop.runUntilIdle(host, () -> admission.decide(proxies));
+        input.setTime(now);
+        delivery.setTime(now);
+        do { // an acknowledgement makes room for orders that waited
+            batch.takeInputReceived();
+            DecisionLoop.runUntilIdle(host, () -> input.decide(outputHandler));
+            while (healthChecks.answerUnchecked()) {
+                batch.inputReceived();
             }
-            if (batchHasOrders) {
+            if (batch.hasOrders()) {
                 delivery.batchEnded();
             }
-            runUntilIdle(() -> delivery.decide(actionHandler));
-        } while (acknowledgementReceived);
-        if (batchHasOrders
-                || batchHasAnswers) { // how far the gate's model of the channel is from what really
-            // waits
-            batchHasAnswers = false;
-            double modelEntries = controller.queuedLines();
-            int actualEntries = delivery.unansweredEntries();
-            maxModelEntries = Math.max(maxModelEntries, modelEntries);
-            maxModelExcess = Math.max(maxModelExcess, modelEntries - actualEntries);
-            maxModelShortfall = Math.max(maxModelShortfall, actualEntries - modelEntries);
-        }
-        longestBatchMillis = Math.max(longestBatchMillis, host.now() - batchTime);
-    }
-
-    private void runUntilIdle(BooleanSupplier decision) {
-        runUntilIdle(host, decision);
-    }
-
-    /** Pulls until there is no decision; one that throws is the host's to tell. */
-    static void runUntilIdle(Host host, BooleanSupplier decision) {
-        try {
-            while (decision.getAsBoolean()) {
-                continue;
-            }
-        } catch (RuntimeException e) {
-            host.decisionFailed(e);
+            DecisionLoop.runUntilIdle(host, () -> delivery.decide(actionHandler));
+        } while (batch.takeInputReceived());
+        if (batch.hasOrders() || answersReceived) {
+            answersReceived = false;
+            metrics.recordChannel(controller.queuedLines(), delivery.unansweredEntries());
         }
+        metrics.recordBatch(host.now() - now);
     }
 
-    /** The figures since this was last asked. */
+    /** Figures since this was last called, as log fields: keys and values in turn. */
     public Object[] metrics() {
-        long streams =
-                connectionsByProxy.values().stream()
-                        .filter(connection -> connection.admitted[0])
-                        .count();
-        Object[] metrics = {
+        Object[] counts = {
             "orders",
-            orderCount,
+            batch.orderCount(),
             "streams",
-            streams,
+            proxies.admittedCount(),
             "waiting",
             admission.waitingCount(),
             "unansweredLines",
             delivery.unansweredEntries(),
             "mostUnansweredLines",
-            delivery.maxUnansweredEntries(),
-            "modelMostLines",
-            Math.round(maxModelEntries),
-            "modelOverLines",
-            Math.round(maxModelExcess),
-            "modelUnderLines",
-            Math.round(maxModelShortfall),
-            "longestRoundMs",
-            Math.round(longestBatchMillis * 10) / 10.0
+            delivery.maxUnansweredEntries()
         };
-        longestBatchMillis = 0;
-        maxModelEntries = 0;
-        maxModelExcess = 0;
-        maxModelShortfall = 0;
-        return metrics;
-    }
-
-    /** What Choice orders. */
-    private final class OutputHandler implements ControllerOutput {
-        private void countOrder() {
-            batchHasOrders = true;
-            orderCount++;
-        }
-
-        @Override
-        public void setWeight(int table, Endpoint endpoint, double weight) {
-            countOrder();
-            delivery.setEntry(table, endpoint.id, weight);
-        }
-
-        @Override
-        public void clearTable(int table) {
-            countOrder();
-            delivery.clearTable(table);
-        }
-
-        @Override
-        public void setEjected(Endpoint endpoint, boolean ejected) {
-            countOrder();
-            delivery.setEjected(endpoint.id, ejected);
-        }
-
-        @Override
-        public void setAdmission(
-                int table, RequestClass requestClass, double admittedLevel, int retryMode) {
-            countOrder();
-            delivery.setAdmissionLevel(table, requestClass.index, admittedLevel, retryMode);
-        }
-
-        @Override
-        public void bindProxy(int table, Proxy proxy, BitSet requestClasses) {
-            countOrder();
-            List<Integer> classIndexes = new ArrayList<>();
-            requestClasses.stream().forEach(classIndexes::add);
-            delivery.bind(proxy.id, table, classIndexes);
-        }
-
-        @Override
-        public void requestAcknowledgement(int serial) {
-            batchTimeBySerial[serial % ACKNOWLEDGEMENT_SERIALS] = batchTime;
-            delivery.requestAcknowledgement(serial);
-        }
-
-        @Override
-        public void checkHealth(Endpoint endpoint) {
-            ListedEndpoint listedEndpoint = endpointsById.get(endpoint.id);
-            if (!healthChecksEnabled || listedEndpoint == null) {
-                uncheckedEndpoints.add(endpoint.id);
-            } else {
-                host.startHealthCheck(listedEndpoint);
-            }
-        }
-
-        @Override
-        public void sendToPeers(byte[] payload) {
-            host.broadcastToPeers(payload);
-        }
-
-        @Override
-        public void watchEndpointList() {
-            if (!watchRequested) {
-                watchRequested = true;
-                host.watchEndpointList();
-            }
-        }
-
-        @Override
-        public void setTimer(int tag, double at) {
-            host.schedule(
-                    at,
-                    () -> {
-                        input.setTime(host.now());
-                        input.timerFired(tag);
-                    });
-        }
-
-        @Override
-        public void log(DecisionEvent event) {
-            host.log(event.text(), "by", "choice");
-        }
-    }
-
-    /** What the other parts decide, and what they tell Choice. */
-    private final class ActionHandler
-            implements DeliveryActions, StreamAdmission.Actions, LoadReportSink {
-        @Override
-        public void send(ResourceUpdate update) {
-            listener.updateSent(batchTime, update);
-            host.send(connectionsByProxy.get(update.stream.proxyId).transport, update);
-        }
-
-        @Override
-        public void closeStream(ProxyStream stream, String reason) {
-            ProxyConnection connection = connectionsByProxy.get(stream.proxyId);
-            if (connection == null || connection.stream != stream) {
-                return; // it ended since it was looked at, or the proxy is on a newer one already
-            }
-            host.log("a stream is cut", "proxy", stream.proxyId, "why", reason);
-            removeProxy(stream.proxyId);
-            host.closeStream(connection.transport, stream, false, reason);
-        }
-
-        @Override
-        public void acknowledged(ProxyStream stream, int serial) {
-            ProxyConnection connection = connectionsByProxy.get(stream.proxyId);
-            if (connection != null) {
-                host.batchAcknowledged(
-                        connection.transport,
-                        host.now() - batchTimeBySerial[serial % ACKNOWLEDGEMENT_SERIALS]);
-            }
-            acknowledgementReceived = true;
-            input.acknowledged(serial);
-        }
-
-        @Override
-        public void admit(int proxyId) {
-            ProxyConnection connection = connectionsByProxy.get(proxyId);
-            connection.admitted[0] = true;
-            delivery.streamAdmitted(connection.stream);
-            input.setTime(host.now());
-            input.proxyJoined(
-                    proxyId,
-                    Math.max(0, zones.indexOf(connection.zone)),
-                    connection.baselineDemand,
-                    connection.withoutTables);
-        }
-
-        @Override
-        public void reject(int proxyId, String reason) {
-            ProxyConnection connection = connectionsByProxy.remove(proxyId);
-            host.log("a stream is turned away", "proxy", proxyId, "why", reason);
-            host.closeStream(connection.transport, connection.stream, true, reason);
-        }
-
-        @Override
-        public void endpointStatsReported(
-                long endpointId, int attempts, int failed, double responseMillis, double load) {
-            input.endpointStatsReported(endpointId, attempts, failed, responseMillis, load);
-            host.endpointStatsReported(endpointId, attempts, failed, responseMillis, load);
-        }
-
-        @Override
-        public void demandReported(
-                int proxyId, int requestClass, int requestCount, double spanMillis) {
-            input.demandReported(proxyId, requestClass, requestCount, spanMillis);
-        }
-
-        @Override
-        public void log(String event, Object... fields) {
-            host.log(event, fields);
-        }
+        return Stream.of(counts, metrics.takeFields()).flatMap(Arrays::stream).toArray();
     }
 }
--- /dev/null
+++ b/src/main/java/sprucelanding/control/core/LoadReportHandler.java
@@ -0,0 +1,23 @@
+package sprucelanding.control.core;
+
+import sprucelanding.control.loadreport.LoadReportSink;
+
+/** Passes the sums of load reports to the controller, and statistics of endpoints to the host. */
+record LoadReportHandler(GovernorHost host, ControllerInput input) implements LoadReportSink {
+    @Override
+    public void endpointStatsReported(
+            long endpointId, int attempts, int failed, double responseMillis, double load) {
+        input.endpointStatsReported(endpointId, attempts, failed, responseMillis, load);
+        host.endpointStatsReported(endpointId, attempts, failed, responseMillis, load);
+    }
+
+    @Override
+    public void demandReported(int proxyId, int requestClass, int requestCount, double spanMillis) {
+        input.demandReported(proxyId, requestClass, requestCount, spanMillis);
+    }
+
+    @Override
+    public void log(String event, Object... fields) {
+        host.log(event, fields);
+    }
+}
--- a/src/test/java/sprucelanding/control/core/GovernorCoreTest.java
+++ b/src/test/java/sprucelanding/control/core/GovernorCoreTest.java
@@ -18,7 +18,7 @@
 import sprucelanding.control.delivery.StreamAdmission;
 import sprucelanding.control.loadreport.LoadReportAggregator;
 
-/** What happens between a look at who is behind and the decision that comes of it. */
+/** Streams that end between the check for unanswered responses and the decision on them. */
 class GovernorCoreTest {
     private static final String LIST =
             "{\"version\":1,\"whole\":true,\"servers\":[{\"id\":1,\"at\":\"127.0.0.1:9\",\"zone\":\"north\","
@@ -32,11 +32,11 @@
     private final List<Object> errors = new ArrayList<>();
     private int sentUpdates;
     private double now = 1000;
-    private final GovernorCore.Host host =
-            (GovernorCore.Host)
+    private final GovernorHost host =
+            (GovernorHost)
                     Proxy.newProxyInstance(
-                            GovernorCore.Host.class.getClassLoader(),
-                            new Class<?>[] {GovernorCore.Host.class},
+                            GovernorHost.class.getClassLoader(),
+                            new Class<?>[] {GovernorHost.class},
                             (proxy, method, args) -> {
                                 switch (method.getName()) {
                                     case "now" -> {
