--- a/src/main/java/sprucelanding/cli/GovernCommand.java
+++ b/src/main/java/sprucelanding/cli/GovernCommand.java
@@ -34,7 +34,8 @@
                         String.valueOf(config.getFileName()), text, overlay.name(), overlay.text());
         GovernorInstance instance = GovernorFactory.create(governorConfig, text);
         boolean hasPeers = !governorConfig.peers().others().isEmpty();
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(instance, hasPeers)));
+        Runtime.getRuntime()
+                .addShutdownHook(new Thread(() -> stop(instance, hasPeers), "shutdown"));
         instance.start(governorConfig.reports().every());
         Thread.currentThread().join();
         return ExitCode.OK;
