--- a/src/main/java/sprucelanding/front/xml/NetconfFraming.java
+++ b/src/main/java/sprucelanding/front/xml/NetconfFraming.java
@@ -3,49 +3,86 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.function.Consumer;
 
 /**
- * NETCONF messages over SSH (RFC 6242): ended by ]]&gt;]]&gt; until both sides have said base:1.1,
- * in chunks from then on. A message past the bound, or framing that is none, is an IOException, and
- * the session is of no more use.
+ * Splits the byte stream of one NETCONF session into messages and frames outgoing ones (RFC 6242).
+ * A session starts with the end-of-message framing (section 4.3) and changes to chunked framing
+ * (section 4.2) once both peers have announced base:1.1.
+ *
+ * <p>Chunked framing runs through these states:
+ *
+ * <table>
+ * <caption>Transitions of the chunked framing</caption>
+ * <tr><th>state</th><th>byte</th><th>next state</th></tr>
+ * <tr><td>CHUNK_START</td><td>LF</td><td>HASH</td></tr>
+ * <tr><td>HASH</td><td>#</td><td>CHUNK_SIZE</td></tr>
+ * <tr><td>CHUNK_SIZE</td><td>digit</td><td>CHUNK_SIZE</td></tr>
+ * <tr><td>CHUNK_SIZE</td><td>LF after a digit</td><td>CHUNK_DATA</td></tr>
+ * <tr><td>CHUNK_SIZE</td><td># as the first byte</td><td>END_OF_CHUNKS</td></tr>
+ * <tr><td>CHUNK_DATA</td><td>last byte of the chunk</td><td>CHUNK_START</td></tr>
+ * <tr><td>END_OF_CHUNKS</td><td>LF</td><td>CHUNK_START, the message is delivered</td></tr>
+ * </table>
+ *
+ * <p>Any other byte is malformed. After a {@link MalformedMessageException} the session must be
+ * closed: the framing can't be resynchronized. Not thread-safe.
  */
 public final class NetconfFraming {
     private static final byte[] END_OF_MESSAGE = "]]>]]>".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] END_OF_CHUNKS = "\n##\n".getBytes(StandardCharsets.US_ASCII);
+
+    /** RFC 6242, section 4.2. */
+    private static final long MAX_CHUNK_BYTES = 4_294_967_295L;
+
+    /** Room for the framing around a message; only a first estimate of the buffer's size. */
+    private static final int FRAMING_BYTES = 24;
 
     private enum State {
-        START,
+        CHUNK_START,
         HASH,
         CHUNK_SIZE,
-        CHUNK_DATA
+        CHUNK_DATA,
+        END_OF_CHUNKS
     }
 
     private final int maxMessageBytes;
     private final Consumer<byte[]> messageHandler;
     private final ByteArrayOutputStream message = new ByteArrayOutputStream();
-    private boolean useChunkedFraming;
+    private boolean chunkedFraming;
+
+    /** How many bytes of the end-of-message marker the input ends with. */
     private int matchedMarkerBytes;
-    private State state = State.START;
+
+    private State state = State.CHUNK_START;
+
+    /** The size read so far in CHUNK_SIZE, where 0 is no digit yet; what is missing afterwards. */
     private long remainingChunkBytes;
-    private boolean hasChunkSize;
-    private boolean atEndOfChunks;
 
     /**
-     * @param most bytes of a message
+     * Starts with the end-of-message framing.
+     *
+     * @param maxMessageBytes the largest message that is accepted
+     * @param messageHandler receives each complete message without its framing
      */
     public NetconfFraming(int maxMessageBytes, Consumer<byte[]> messageHandler) {
         this.maxMessageBytes = maxMessageBytes;
         this.messageHandler = messageHandler;
     }
 
-    /** From the next message on, both ways. */
+    /** Changes to chunked framing from the next message on, in both directions. */
     public void useChunkedFraming() {
-        useChunkedFraming = true;
+        chunkedFraming = true;
     }
 
+    /**
+     * Decodes received bytes; the handler is called for each message that they complete.
+     *
+     * @throws MalformedMessageException if the framing is invalid or a message is too large
+     */
     public void onBytes(byte[] bytes, int offset, int length) throws IOException {
         for (int i = offset; i < offset + length; i++) {
-            if (useChunkedFraming) {
+            if (chunkedFraming) {
                 decodeChunked(bytes[i]);
             } else {
                 decodeEndMarked(bytes[i]);
@@ -53,27 +90,35 @@
         }
     }
 
-    private void decodeEndMarked(byte value) throws IOException {
+    private void decodeEndMarked(byte value) throws MalformedMessageException {
         message.write(value);
-        matchedMarkerBytes =
-                value == END_OF_MESSAGE[matchedMarkerBytes]
-                        ? matchedMarkerBytes + 1
-                        : value == END_OF_MESSAGE[0]
-                                ? 1 + (matchedMarkerBytes % 3 == 2 ? 1 : 0)
-                                : 0;
+        matchedMarkerBytes = markerBytesMatchedWith(value);
         if (matchedMarkerBytes == END_OF_MESSAGE.length) {
-            byte[] bytes = message.toByteArray();
-            message.reset();
+            byte[] bytes = takeMessage();
             matchedMarkerBytes = 0;
-            messageHandler.accept(
-                    java.util.Arrays.copyOf(bytes, bytes.length - END_OF_MESSAGE.length));
+            messageHandler.accept(Arrays.copyOf(bytes, bytes.length - END_OF_MESSAGE.length));
+        }
+        if (message.size() > maxMessageBytes) {
+            throw new MalformedMessageException(
+                    "a message of more than " + maxMessageBytes + " bytes");
         }
-        checkMessageSize();
     }
 
-    private void decodeChunked(byte value) throws IOException {
+    private int markerBytesMatchedWith(byte value) {
+        if (value == END_OF_MESSAGE[matchedMarkerBytes]) {
+            return matchedMarkerBytes + 1;
+        }
+        if (value != END_OF_MESSAGE[0]) {
+            return 0;
+        }
+        // "]]" was matched where ">" was expected: the last two of "]]]" may begin the marker
+        boolean followsTwoBrackets = matchedMarkerBytes % 3 == 2;
+        return followsTwoBrackets ? 2 : 1;
+    }
+
+    private void decodeChunked(byte value) throws MalformedMessageException {
         switch (state) {
-            case START -> {
+            case CHUNK_START -> {
                 expect(value, '\n');
                 state = State.HASH;
             }
@@ -81,70 +126,90 @@
                 expect(value, '#');
                 state = State.CHUNK_SIZE;
                 remainingChunkBytes = 0;
-                hasChunkSize = false;
-                atEndOfChunks = false;
-            }
-            case CHUNK_SIZE -> {
-                if (value == '#' && !hasChunkSize && !atEndOfChunks) {
-                    atEndOfChunks = true;
-                } else if (value == '\n' && atEndOfChunks) {
-                    state = State.START;
-                    byte[] bytes = message.toByteArray();
-                    message.reset();
-                    if (bytes.length == 0) {
-                        throw new IOException("an end of chunks without a chunk");
-                    }
-                    messageHandler.accept(bytes);
-                } else if (value == '\n' && hasChunkSize) {
-                    state = State.CHUNK_DATA;
-                } else if (!atEndOfChunks && value >= (hasChunkSize ? '0' : '1') && value <= '9') {
-                    remainingChunkBytes = remainingChunkBytes * 10 + value - '0';
-                    hasChunkSize = true;
-                    if (remainingChunkBytes > 4_294_967_295L
-                            || message.size() + remainingChunkBytes > maxMessageBytes) {
-                        throw new IOException(
-                                "a chunk of "
-                                        + remainingChunkBytes
-                                        + " bytes or more; "
-                                        + maxMessageBytes
-                                        + " at most");
-                    }
-                } else {
-                    throw new IOException("no chunk size: byte " + value);
-                }
             }
+            case CHUNK_SIZE -> decodeChunkSize(value);
             case CHUNK_DATA -> {
                 message.write(value);
-                state = --remainingChunkBytes == 0 ? State.START : State.CHUNK_DATA;
+                remainingChunkBytes--;
+                state = remainingChunkBytes == 0 ? State.CHUNK_START : State.CHUNK_DATA;
             }
+            case END_OF_CHUNKS -> decodeEndOfChunks(value);
+            default -> throw new AssertionError(state);
         }
     }
 
-    private static void expect(byte value, char expected) throws IOException {
-        if (value != expected) {
-            throw new IOException(
-                    "expected " + (int) expected + " of a chunk's head, found " + value);
+    private void decodeChunkSize(byte value) throws MalformedMessageException {
+        boolean hasDigits = remainingChunkBytes > 0;
+        char lowestDigit = hasDigits ? '0' : '1';
+        if (value == '#' && !hasDigits) {
+            state = State.END_OF_CHUNKS;
+        } else if (value == '\n' && hasDigits) {
+            state = State.CHUNK_DATA;
+        } else if (value >= lowestDigit && value <= '9') {
+            remainingChunkBytes = remainingChunkBytes * 10 + value - '0';
+            checkChunkSize();
+        } else {
+            throw invalidChunkSize(value);
         }
     }
 
-    private void checkMessageSize() throws IOException {
-        if (message.size() > maxMessageBytes) {
-            throw new IOException("a message of more than " + maxMessageBytes + " bytes");
+    private void checkChunkSize() throws MalformedMessageException {
+        if (remainingChunkBytes > MAX_CHUNK_BYTES
+                || message.size() + remainingChunkBytes > maxMessageBytes) {
+            throw new MalformedMessageException(
+                    "a chunk of "
+                            + remainingChunkBytes
+                            + " bytes or more; "
+                            + maxMessageBytes
+                            + " at most");
+        }
+    }
+
+    private void decodeEndOfChunks(byte value) throws MalformedMessageException {
+        if (value != '\n') {
+            throw invalidChunkSize(value);
+        }
+        state = State.CHUNK_START;
+        byte[] bytes = takeMessage();
+        if (bytes.length == 0) {
+            throw new MalformedMessageException("an end of chunks without a chunk");
+        }
+        messageHandler.accept(bytes);
+    }
+
+    private byte[] takeMessage() {
+        byte[] bytes = message.toByteArray();
+        message.reset();
+        return bytes;
+    }
+
+    private static MalformedMessageException invalidChunkSize(byte value) {
+        return new MalformedMessageException("no chunk size: byte " + value);
+    }
+
+    private static void expect(byte value, char expected) throws MalformedMessageException {
+        if (value != expected) {
+            throw new MalformedMessageException(
+                    "expected " + (int) expected + " of a chunk's head, found " + value);
         }
     }
 
-    /** A message as it goes out. */
+    /**
+     * Frames an outgoing message.
+     *
+     * @return the bytes to write, in the framing that is in use now
+     */
     public byte[] frame(String text) {
         byte[] body = text.getBytes(StandardCharsets.UTF_8);
-        ByteArrayOutputStream out = new ByteArrayOutputStream(body.length + 24);
-        if (useChunkedFraming) {
-            out.writeBytes(("\n#" + body.length + "\n").getBytes(StandardCharsets.US_ASCII));
-            out.writeBytes(body);
-            out.writeBytes("\n##\n".getBytes(StandardCharsets.US_ASCII));
+        ByteArrayOutputStream framed = new ByteArrayOutputStream(body.length + FRAMING_BYTES);
+        if (chunkedFraming) {
+            framed.writeBytes(("\n#" + body.length + "\n").getBytes(StandardCharsets.US_ASCII));
+            framed.writeBytes(body);
+            framed.writeBytes(END_OF_CHUNKS);
         } else {
-            out.writeBytes(body);
-            out.writeBytes(END_OF_MESSAGE);
+            framed.writeBytes(body);
+            framed.writeBytes(END_OF_MESSAGE);
         }
-        return out.toByteArray();
+        return framed.toByteArray();
     }
 }
--- a/src/test/java/sprucelanding/front/xml/XmlTest.java
+++ b/src/test/java/sprucelanding/front/xml/XmlTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -16,7 +17,7 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
 
-/** Framing and XML from peers that mean well, and from those that do not. */
+/** NETCONF framing and XML, from correct peers and from faulty or hostile ones. */
 class XmlTest {
     private static final int MAX_MESSAGE_BYTES = 100_000;
 
@@ -46,7 +47,7 @@
         if (chunked) {
             framing.useChunkedFraming();
         }
-        java.io.ByteArrayOutputStream wire = new java.io.ByteArrayOutputStream();
+        ByteArrayOutputStream wire = new ByteArrayOutputStream();
         texts.forEach(text -> wire.writeBytes(framing.frame("<a>]]>]" + text + "]]</a>")));
         assertEquals(
                 texts.stream().map(text -> "<a>]]>]" + text + "]]</a>").toList(),
@@ -61,7 +62,7 @@
             }
             XmlElement.parse(bytes);
         } catch (IOException e) {
-            // refused
+            // rejected
         }
     }
 
@@ -75,7 +76,7 @@
         try {
             XmlElement.parse(bytes);
         } catch (IOException e) {
-            // refused
+            // rejected
         }
     }
 
@@ -105,7 +106,7 @@
     void messageBeyondTheSizeLimitIsRejected() {
         assertThrows(IOException.class, () -> decode(false, new byte[MAX_MESSAGE_BYTES + 1], 1000));
         byte[] chunk = ("\n#1000\n" + "x".repeat(1000)).getBytes(StandardCharsets.US_ASCII);
-        java.io.ByteArrayOutputStream many = new java.io.ByteArrayOutputStream();
+        ByteArrayOutputStream many = new ByteArrayOutputStream();
         for (int i = 0; i <= MAX_MESSAGE_BYTES / 1000; i++) {
             many.writeBytes(chunk);
         }
