--- /dev/null
+++ b/src/main/java/sprucelanding/config/records/BasicKind.java
@@ -0,0 +1,62 @@
+package sprucelanding.config.records;
+
+import java.util.Optional;
+
+/** The types that the language has without a definition. */
+enum BasicKind {
+    STRING("string", "a string"),
+    INT("int", "a whole number"),
+    NUMBER("number", "a number"),
+    BOOL("bool", "true or false"),
+    TIME("time", "a time (ms, s or min)"),
+    SHARE("share", "a share (such as 40%)"),
+    RATE("rate", "a rate (such as 200/s)");
+
+    private final String keyword;
+    private final String expectation;
+
+    BasicKind(String keyword, String expectation) {
+        this.keyword = keyword;
+        this.expectation = expectation;
+    }
+
+    /** The type of that keyword; empty if it is none. */
+    static Optional<BasicKind> ofKeyword(String keyword) {
+        for (BasicKind kind : values()) {
+            if (kind.keyword.equals(keyword)) {
+                return Optional.of(kind);
+            }
+        }
+        return Optional.empty();
+    }
+
+    String keyword() {
+        return keyword;
+    }
+
+    /** What a value of this type is, for faults. */
+    String expectation() {
+        return expectation;
+    }
+
+    /** A time of 0 and a share or rate without a unit need none to be understood. */
+    boolean includes(RecordValue.Scalar scalar) {
+        Object value = scalar.value();
+        Unit unit = scalar.unit();
+        return switch (this) {
+            case STRING -> value instanceof String;
+            case BOOL -> value instanceof Boolean;
+            case INT ->
+                    value instanceof Double number
+                            && number == Math.rint(number)
+                            && unit == Unit.NONE;
+            case NUMBER -> value instanceof Double && unit == Unit.NONE;
+            case TIME -> value instanceof Double number && (unit == Unit.TIME || number == 0);
+            case SHARE ->
+                    value instanceof Double number
+                            && (unit == Unit.SHARE || unit == Unit.NONE && number <= 1);
+            case RATE -> value instanceof Double && (unit == Unit.RATE || unit == Unit.NONE);
+            default -> throw new AssertionError(this);
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/sprucelanding/config/records/ComparisonOperator.java
@@ -0,0 +1,48 @@
+package sprucelanding.config.records;
+
+/** A comparison, in a bound ({@code >=1}) or in the condition of a comprehension. */
+enum ComparisonOperator {
+    EQUAL("=="),
+    NOT_EQUAL("!="),
+    LESS("<"),
+    LESS_OR_EQUAL("<="),
+    GREATER(">"),
+    GREATER_OR_EQUAL(">=");
+
+    private final String symbol;
+
+    ComparisonOperator(String symbol) {
+        this.symbol = symbol;
+    }
+
+    /** The operator that the grammar accepted as this symbol. */
+    static ComparisonOperator ofSymbol(String symbol) {
+        for (ComparisonOperator operator : values()) {
+            if (operator.symbol.equals(symbol)) {
+                return operator;
+            }
+        }
+        throw new IllegalArgumentException("not a comparison: " + symbol);
+    }
+
+    String symbol() {
+        return symbol;
+    }
+
+    /** Whether two values can be compared without an order among them. */
+    boolean isEquality() {
+        return this == EQUAL || this == NOT_EQUAL;
+    }
+
+    boolean holds(double left, double right) {
+        return switch (this) {
+            case EQUAL -> left == right;
+            case NOT_EQUAL -> left != right;
+            case LESS -> left < right;
+            case LESS_OR_EQUAL -> left <= right;
+            case GREATER -> left > right;
+            case GREATER_OR_EQUAL -> left >= right;
+            default -> throw new AssertionError(this);
+        };
+    }
+}
--- a/src/main/java/sprucelanding/config/records/InvalidRecordsException.java
+++ b/src/main/java/sprucelanding/config/records/InvalidRecordsException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What is wrong with a file of records, one line for each fault. */
+/** Records can't be used; the message has one line for each fault. */
 public final class InvalidRecordsException extends Exception {
     private static final long serialVersionUID = 1;
     private final transient List<String> faults;
@@ -12,6 +12,7 @@
         this.faults = List.copyOf(faults);
     }
 
+    /** All faults, each with file, line and column, in the order in which they were found. */
     public List<String> faults() {
         return faults;
     }
--- a/src/main/java/sprucelanding/config/records/RecordFormatter.java
+++ b/src/main/java/sprucelanding/config/records/RecordFormatter.java
@@ -2,87 +2,86 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 import org.antlr.v4.runtime.CharStreams;
 import org.antlr.v4.runtime.Token;
 
 /**
- * One look for files of records: a tab a level, one space between words, none inside brackets but
- * braces keep theirs off, at most one blank line. Lines stay where they were broken, and comments
- * where they stood; a text that cannot be read is left alone.
+ * Formats sources: a tab for each level, one space between words, none inside brackets, at most one
+ * blank line. Line breaks and comments stay where they are. Formatting a formatted text changes
+ * nothing.
  */
 public final class RecordFormatter {
+    private static final Set<String> OPENING_BRACKETS = Set.of("{", "[", "(");
+    private static final Set<String> CLOSING_BRACKETS = Set.of("}", "]", ")");
+    private static final Set<String> NO_SPACE_BEFORE = Set.of(",", ":", "?", "]", ")", "}", ".");
+    private static final Set<String> NO_SPACE_AFTER =
+            Set.of("{", "[", "(", ".", "*", "...", "<", ">", "<=", ">=", "!=");
+    private static final String COMMENT_START = "//";
+
+    private final StringBuilder formatted = new StringBuilder();
+
+    /** The lines of brackets that aren't closed yet, outermost first. */
+    private final List<Integer> openBracketLines = new ArrayList<>();
+
     private RecordFormatter() {}
 
-    /** The text anew; throws Invalid with its faults. The same again for what came out of it. */
+    /**
+     * Formats a text.
+     *
+     * @param name how faults refer to the text
+     * @throws InvalidRecordsException with the syntax errors of a text that can't be parsed
+     */
     public static String format(String name, String text) throws InvalidRecordsException {
-        List<String> faults = new ArrayList<>();
-        RecordReader.parse(new RecordReader.Source(name, text), faults);
-        if (!faults.isEmpty()) {
-            throw new InvalidRecordsException(faults);
-        }
-        List<Token> tokens =
-                new ArrayList<>(
-                        new RecordsLexer(CharStreams.fromString(text, name))
-                                .getAllTokens().stream().map(token -> (Token) token).toList());
-        StringBuilder formatted = new StringBuilder();
-        List<Integer> openBracketLines = new ArrayList<>(); // the lines of brackets not closed yet
+        Faults faults = new Faults();
+        SourceParser.parse(new Source(name, text), faults);
+        faults.throwIfAny();
+        RecordFormatter formatter = new RecordFormatter();
         Token previous = null;
-        for (Token token : tokens) {
-            String tokenText = token.getText().stripTrailing();
-            boolean isClosing =
-                    tokenText.equals("}") || tokenText.equals("]") || tokenText.equals(")");
-            if (isClosing) {
-                openBracketLines.remove(openBracketLines.size() - 1);
-            }
-            if (previous == null || token.getLine() > previous.getLine()) {
-                if (previous != null) {
-                    formatted.append(token.getLine() > previous.getLine() + 1 ? "\n\n" : "\n");
-                }
-                formatted.append(
-                        "\t"
-                                .repeat(
-                                        (int)
-                                                openBracketLines.stream()
-                                                        .distinct()
-                                                        .count())); // those opened on one line are
-                // one level
-            } else if (needsSpaceBetween(previous.getText(), tokenText)) {
-                formatted.append(' ');
-            }
-            formatted.append(tokenText);
-            if (tokenText.equals("{") || tokenText.equals("[") || tokenText.equals("(")) {
-                openBracketLines.add(token.getLine());
-            }
+        for (Token token : new RecordsLexer(CharStreams.fromString(text, name)).getAllTokens()) {
+            formatter.append(token, previous);
             previous = token;
         }
-        return formatted.isEmpty() ? "" : formatted.append('\n').toString();
+        return formatter.result();
+    }
+
+    private void append(Token token, Token previous) {
+        String text = token.getText().stripTrailing();
+        if (CLOSING_BRACKETS.contains(text)) {
+            openBracketLines.remove(openBracketLines.size() - 1);
+        }
+        if (previous == null || token.getLine() > previous.getLine()) {
+            appendLineStart(token, previous);
+        } else if (needsSpaceBetween(previous.getText(), text)) {
+            formatted.append(' ');
+        }
+        formatted.append(text);
+        if (OPENING_BRACKETS.contains(text)) {
+            openBracketLines.add(token.getLine());
+        }
+    }
+
+    private void appendLineStart(Token token, Token previous) {
+        if (previous != null) {
+            boolean hasBlankLine = token.getLine() > previous.getLine() + 1;
+            formatted.append(hasBlankLine ? "\n\n" : "\n");
+        }
+        // brackets opened on one line indent by one level together
+        long levels = openBracketLines.stream().distinct().count();
+        formatted.append("\t".repeat((int) levels));
     }
 
-    private static boolean needsSpaceBetween(String previous, String tokenText) {
-        if (tokenText.startsWith("//")) {
+    private static boolean needsSpaceBetween(String previous, String text) {
+        if (text.startsWith(COMMENT_START)) {
             return true;
         }
-        boolean noSpaceBefore =
-                tokenText.equals(",")
-                        || tokenText.equals(":")
-                        || tokenText.equals("?")
-                        || tokenText.equals("]")
-                        || tokenText.equals(")")
-                        || tokenText.equals("}")
-                        || tokenText.equals(".")
-                        || tokenText.equals("{") && previous.equals("[");
-        boolean noSpaceAfterPrevious =
-                previous.equals("{")
-                        || previous.equals("[")
-                        || previous.equals("(")
-                        || previous.equals(".")
-                        || previous.equals("*")
-                        || previous.equals("...")
-                        || previous.equals("<")
-                        || previous.equals(">")
-                        || previous.equals("<=")
-                        || previous.equals(">=")
-                        || previous.equals("!=");
-        return !noSpaceBefore && !noSpaceAfterPrevious;
+        boolean isStructInList = text.equals("{") && previous.equals("[");
+        return !NO_SPACE_BEFORE.contains(text)
+                && !isStructInList
+                && !NO_SPACE_AFTER.contains(previous);
+    }
+
+    private String result() {
+        return formatted.isEmpty() ? "" : formatted.append('\n').toString();
     }
 }
--- a/src/main/java/sprucelanding/config/records/RecordValue.java
+++ b/src/main/java/sprucelanding/config/records/RecordValue.java
@@ -1,218 +1,237 @@
 package sprucelanding.config.records;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * A value, or a constraint that a value must meet; the two are of one kind, as in CUE, and meet
- * makes one of both.
+ * A value, or a constraint that a value must meet. As in CUE both are of one kind, and unification
+ * ({@link Unifier}) makes one of two. Structs and lists are filled while they are evaluated; all
+ * others are immutable.
  */
-abstract class RecordValue {
-    final SourcePosition position;
+sealed interface RecordValue {
+    /** Where it was given. */
+    SourcePosition position();
 
-    RecordValue(SourcePosition position) {
-        this.position = position;
+    /** How it would be written in a source; for faults. */
+    String describe();
+
+    /** The value if nothing more is given: the default alternative of disjunctions. */
+    default RecordValue resolveDefaults() {
+        RecordValue value = this;
+        while (value instanceof Disjunction disjunction
+                && disjunction.defaultAlternative().isPresent()) {
+            value = disjunction.defaultAlternative().get();
+        }
+        return value;
+    }
+
+    /** Whether {@link #resolveDefaults} chooses an alternative. */
+    default boolean hasDefault() {
+        return this instanceof Disjunction disjunction
+                && disjunction.defaultAlternative().isPresent();
     }
 
-    /** How a person would write it. */
-    abstract String describe();
+    /**
+     * A single value.
+     *
+     * @param position where it was given
+     * @param value a String, Double or Boolean
+     * @param unit of a number; NONE for others
+     */
+    record Scalar(SourcePosition position, Object value, Unit unit) implements RecordValue {
+        static Scalar of(SourcePosition position, Object value) {
+            return new Scalar(position, value, Unit.NONE);
+        }
 
-    /** A string, number (ms, shares, plain) or truth. */
-    static final class Scalar extends RecordValue {
-        final Object value;
-        final String unit;
+        /** Whether both have the same value, whatever their units are. */
+        boolean hasSameValueAs(Scalar other) {
+            return value.equals(other.value);
+        }
 
-        Scalar(SourcePosition position, Object value, String unit) {
-            super(position);
-            this.value = value;
-            this.unit = unit;
+        @Override
+        public String describe() {
+            if (value instanceof String) {
+                return "\"" + value + "\"";
+            }
+            return unit == Unit.NONE ? value.toString() : value + " (" + unit.label() + ")";
         }
+    }
 
+    /**
+     * A type that the language has of its own.
+     *
+     * @param position where it was given
+     * @param kind which type
+     */
+    record BasicType(SourcePosition position, BasicKind kind) implements RecordValue {
         @Override
-        String describe() {
-            return value instanceof String
-                    ? "\"" + value + "\""
-                    : value + (unit.isEmpty() ? "" : " (" + unit + ")");
+        public String describe() {
+            return kind.keyword();
         }
     }
 
-    /** string, int, number, bool, time, share, rate. */
-    static final class BasicType extends RecordValue {
-        static final Set<String> NAMES =
-                Set.of("string", "int", "number", "bool", "time", "share", "rate");
-        final String name;
-
-        BasicType(SourcePosition position, String name) {
-            super(position);
-            this.name = name;
-        }
-
-        /** Why a value is not of this type; null if it is. */
-        String mismatch(Scalar scalar) {
-            boolean matches =
-                    switch (name) {
-                        case "string" -> scalar.value instanceof String;
-                        case "bool" -> scalar.value instanceof Boolean;
-                        case "int" ->
-                                scalar.value instanceof Double number
-                                        && number == Math.rint(number)
-                                        && scalar.unit.isEmpty();
-                        case "number" -> scalar.value instanceof Double && scalar.unit.isEmpty();
-                        case "time" ->
-                                scalar.value instanceof Double number
-                                        && (scalar.unit.equals("time") || number == 0);
-                        case "share" ->
-                                scalar.value instanceof Double number
-                                        && (scalar.unit.equals("share")
-                                                || scalar.unit.isEmpty() && number <= 1);
-                        default ->
-                                scalar.value instanceof Double
-                                        && (scalar.unit.equals("rate") || scalar.unit.isEmpty());
-                    };
-            return matches ? null : "expected " + expectation() + ", found " + scalar.describe();
-        }
-
-        private String expectation() {
-            return switch (name) {
-                case "time" -> "a time (ms, s or min)";
-                case "share" -> "a share (such as 40%)";
-                case "rate" -> "a rate (such as 200/s)";
-                case "int" -> "a whole number";
-                case "bool" -> "true or false";
-                default -> "a " + name;
-            };
+    /**
+     * A limit that a number must keep.
+     *
+     * @param position where it was given
+     * @param operator compares the number with the limit
+     * @param limit a number
+     */
+    record Bound(SourcePosition position, ComparisonOperator operator, Scalar limit)
+            implements RecordValue {
+        boolean isMetBy(double value) {
+            return operator.holds(value, (Double) limit.value());
         }
 
         @Override
-        String describe() {
-            return name;
+        public String describe() {
+            return operator.symbol() + limit.value();
         }
     }
 
-    static final class Bound extends RecordValue {
-        final String operator;
-        final Scalar limit;
-
-        Bound(SourcePosition position, String operator, Scalar limit) {
-            super(position);
-            this.operator = operator;
-            this.limit = limit;
+    /**
+     * Several constraints that a value must meet, none given yet.
+     *
+     * @param position where the last of them was given
+     * @param operands the constraints
+     */
+    record Conjunction(SourcePosition position, List<RecordValue> operands) implements RecordValue {
+        @Override
+        public String describe() {
+            return describeAll(operands, " & ");
         }
+    }
 
-        boolean isMetBy(double value) {
-            double bound = (Double) limit.value;
-            return switch (operator) {
-                case ">=" -> value >= bound;
-                case "<=" -> value <= bound;
-                case ">" -> value > bound;
-                case "<" -> value < bound;
-                default -> value != bound;
-            };
+    /**
+     * Several alternatives.
+     *
+     * @param position where the first of them was given
+     * @param operands the alternatives
+     * @param defaultAlternative the starred one, which is taken if nothing more is given
+     */
+    record Disjunction(
+            SourcePosition position,
+            List<RecordValue> operands,
+            Optional<RecordValue> defaultAlternative)
+            implements RecordValue {
+        @Override
+        public String describe() {
+            return describeAll(operands, " | ");
         }
+    }
 
+    /**
+     * Any number of elements that each meet one constraint.
+     *
+     * @param position where it was given
+     * @param element what each element must meet
+     */
+    record ListOf(SourcePosition position, RecordValue element) implements RecordValue {
         @Override
-        String describe() {
-            return operator + limit.value;
+        public String describe() {
+            return "a list of " + element.describe();
         }
     }
 
-    /** All of several constraints that no value was given for yet. */
-    static final class Conjunction extends RecordValue {
-        final List<RecordValue> operands;
+    /** Whether a struct may be given fields that it doesn't name. */
+    enum Openness {
+        OPEN,
+        CLOSED
+    }
+
+    /** Fields by name, in the order in which they were given. */
+    final class Struct implements RecordValue {
+        private final SourcePosition position;
+        private final Openness openness;
+        private final Map<String, RecordValue> fields = new LinkedHashMap<>();
+        private final Set<String> optionalFields = new LinkedHashSet<>();
 
-        Conjunction(SourcePosition position, List<RecordValue> operands) {
-            super(position);
-            this.operands = operands;
+        Struct(SourcePosition position, Openness openness) {
+            this.position = position;
+            this.openness = openness;
         }
 
         @Override
-        String describe() {
-            return String.join(" & ", operands.stream().map(RecordValue::describe).toList());
+        public SourcePosition position() {
+            return position;
         }
-    }
 
-    static final class Disjunction extends RecordValue {
-        final List<RecordValue> operands;
+        Openness openness() {
+            return openness;
+        }
 
-        /** Taken if nothing else is said; null if there is none. */
-        final RecordValue defaultAlternative;
+        boolean isClosed() {
+            return openness == Openness.CLOSED;
+        }
 
-        Disjunction(
-                SourcePosition position,
-                List<RecordValue> operands,
-                RecordValue defaultAlternative) {
-            super(position);
-            this.operands = operands;
-            this.defaultAlternative = defaultAlternative;
+        Map<String, RecordValue> fields() {
+            return Collections.unmodifiableMap(fields);
         }
 
-        @Override
-        String describe() {
-            return String.join(" | ", operands.stream().map(RecordValue::describe).toList());
+        Optional<RecordValue> field(String name) {
+            return Optional.ofNullable(fields.get(name));
         }
-    }
 
-    static final class Struct extends RecordValue {
-        final Map<String, RecordValue> fields = new LinkedHashMap<>();
-        final Set<String> optionalFields = new LinkedHashSet<>();
+        /** Sets a field; one that is replaced keeps its place. */
+        void put(String name, RecordValue value) {
+            fields.put(name, value);
+        }
 
-        /** A definition's record has the fields it names and no others. */
-        final boolean closed;
+        boolean isOptional(String name) {
+            return optionalFields.contains(name);
+        }
 
-        Struct(SourcePosition position, boolean closed) {
-            super(position);
-            this.closed = closed;
+        void markOptional(String name) {
+            optionalFields.add(name);
+        }
+
+        /** Whether the field has a value: it is there and not just allowed to be. */
+        boolean isGiven(String name) {
+            RecordValue value = fields.get(name);
+            return value != null && (!isOptional(name) || value.hasDefault());
         }
 
         @Override
-        String describe() {
+        public String describe() {
             return "a record";
         }
     }
 
-    static final class ListValue extends RecordValue {
-        final List<RecordValue> elements = new ArrayList<>();
+    /** Elements one by one. */
+    final class ListValue implements RecordValue {
+        private final SourcePosition position;
+        private final List<RecordValue> elements = new ArrayList<>();
 
         ListValue(SourcePosition position) {
-            super(position);
+            this.position = position;
         }
 
         @Override
-        String describe() {
-            return "a list";
+        public SourcePosition position() {
+            return position;
         }
-    }
-
-    /** Any number of items that each meet one constraint. */
-    static final class ListOf extends RecordValue {
-        final RecordValue element;
 
-        ListOf(SourcePosition position, RecordValue element) {
-            super(position);
-            this.element = element;
+        List<RecordValue> elements() {
+            return Collections.unmodifiableList(elements);
         }
 
-        @Override
-        String describe() {
-            return "a list of " + element.describe();
+        void add(RecordValue element) {
+            elements.add(element);
         }
-    }
 
-    /** What it comes to if nothing else is said: through alternatives, the starred ones. */
-    final RecordValue resolveDefaults() {
-        RecordValue value = this;
-        while (value instanceof Disjunction disjunction && disjunction.defaultAlternative != null) {
-            value = disjunction.defaultAlternative;
+        @Override
+        public String describe() {
+            return "a list";
         }
-        return value;
     }
 
-    static boolean hasSameValue(Scalar left, Scalar right) {
-        return Objects.equals(left.value, right.value);
+    private static String describeAll(List<RecordValue> operands, String separator) {
+        return String.join(separator, operands.stream().map(RecordValue::describe).toList());
     }
 }
--- a/src/test/java/sprucelanding/config/records/PackageTest.java
+++ b/src/test/java/sprucelanding/config/records/PackageTest.java
@@ -16,8 +16,47 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Stories of records in several files, made by comprehensions, or meant to break the reader. */
+/** Packages of several files, comprehensions, formatting, and input meant to break the reader. */
 class PackageTest {
+    private static final List<String> TOKENS =
+            List.of(
+                    "{",
+                    "}",
+                    "[",
+                    "]",
+                    "(",
+                    ")",
+                    ":",
+                    ",",
+                    "|",
+                    "&",
+                    "*",
+                    "...",
+                    ">=",
+                    "<",
+                    "!=",
+                    "for",
+                    "in",
+                    "if",
+                    "==",
+                    "a",
+                    "#A",
+                    "b",
+                    "1",
+                    "2s",
+                    "40%",
+                    "\"s\"",
+                    "\"\\(a)\"",
+                    "name",
+                    ".",
+                    "?",
+                    "import",
+                    "package",
+                    "true",
+                    "\n",
+                    "//x\n",
+                    "\"");
+
     @TempDir Path folder;
 
     private void writeFile(String name, String text) throws IOException {
@@ -130,50 +169,11 @@
 
     @Provide
     Arbitrary<String> tokenSequences() {
-        return Arbitraries.of(
-                        "{",
-                        "}",
-                        "[",
-                        "]",
-                        "(",
-                        ")",
-                        ":",
-                        ",",
-                        "|",
-                        "&",
-                        "*",
-                        "...",
-                        ">=",
-                        "<",
-                        "!=",
-                        "for",
-                        "in",
-                        "if",
-                        "==",
-                        "a",
-                        "#A",
-                        "b",
-                        "1",
-                        "2s",
-                        "40%",
-                        "\"s\"",
-                        "\"\\(a)\"",
-                        "name",
-                        ".",
-                        "?",
-                        "import",
-                        "package",
-                        "true",
-                        "\n",
-                        "//x\n",
-                        "\"")
-                .list()
-                .ofMaxSize(40)
-                .map(l -> String.join(" ", l));
+        return Arbitraries.of(TOKENS).list().ofMaxSize(40).map(tokens -> String.join(" ", tokens));
     }
 
     @Property(tries = 2000, seed = "1")
-    void anyInputGivesAValueOrFaultsWithPositions(@ForAll("soup") String text) {
+    void anyInputGivesAValueOrFaultsWithPositions(@ForAll("tokenSequences") String text) {
         try {
             Records.parse("x.cue", text, "inn.cue", "#Inn", RecordsTest.Inn.class);
         } catch (InvalidRecordsException e) {
@@ -184,7 +184,8 @@
     }
 
     @Property(tries = 500, seed = "2")
-    void formattingIsIdempotent(@ForAll("soup") String text) throws InvalidRecordsException {
+    void formattingIsIdempotent(@ForAll("tokenSequences") String text)
+            throws InvalidRecordsException {
         String once;
         try {
             once = RecordFormatter.format("x.cue", text);
--- a/src/test/java/sprucelanding/config/records/RecordedFieldsTest.java
+++ b/src/test/java/sprucelanding/config/records/RecordedFieldsTest.java
@@ -28,12 +28,14 @@
     }
 
     private static void append(StringBuilder fields, String path, Type type) {
-        Class<?> plain = (Class<?>) (type instanceof ParameterizedType p ? p.getRawType() : type);
+        Class<?> plain =
+                (Class<?>)
+                        (type instanceof ParameterizedType generic ? generic.getRawType() : type);
         if (type instanceof ParameterizedType list) {
             append(fields, path + "[]", list.getActualTypeArguments()[0]);
         } else if (plain.isRecord()) {
-            for (RecordComponent each : plain.getRecordComponents()) {
-                append(fields, path + "." + each.getName(), each.getGenericType());
+            for (RecordComponent component : plain.getRecordComponents()) {
+                append(fields, path + "." + component.getName(), component.getGenericType());
             }
         } else {
             fields.append(path).append(' ').append(plain.getSimpleName()).append('\n');
--- a/src/test/java/sprucelanding/config/records/RecordsTest.java
+++ b/src/test/java/sprucelanding/config/records/RecordsTest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Stories of files that staff got wrong. */
+/** Values of a single text, and the faults of texts that are wrong. */
 class RecordsTest {
-    /** What inn.cue defines. */
+    /** The record that inn.cue defines. */
     record Inn(String name, double opens, List<Room> rooms, String mood, Keeper keeper) {}
 
     record Room(int beds, double full) {}
