--- a/src/main/java/sprucelanding/front/xds/DeltaStream.java
+++ b/src/main/java/sprucelanding/front/xds/DeltaStream.java
@@ -1,13 +1,10 @@
 package sprucelanding.front.xds;
 
-import io.envoyproxy.envoy.config.core.v3.ControlPlane;
 import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryRequest;
 import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryResponse;
 import io.grpc.stub.StreamObserver;
-import java.util.EnumSet;
-import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import sprucelanding.control.delivery.ProxyStream;
 import sprucelanding.control.delivery.ResourceName;
 import sprucelanding.control.delivery.ResourceType;
@@ -15,37 +12,42 @@
 import sprucelanding.control.delivery.RoutingResource;
 import sprucelanding.runtime.governor.ResourceNaming;
 
-/** The incremental form (xDS protocol, "Incremental xDS"). */
+/** A stream of the incremental form (xDS protocol, "Incremental xDS"). */
 final class DeltaStream extends DiscoveryStream<DeltaDiscoveryRequest, DeltaDiscoveryResponse> {
-    private final Set<ResourceType> openedTypes = EnumSet.noneOf(ResourceType.class);
-
-    DeltaStream(XdsFront front, StreamObserver<DeltaDiscoveryResponse> out) {
-        super(front, out, true);
+    DeltaStream(XdsFront front, StreamObserver<DeltaDiscoveryResponse> responses) {
+        super(front, responses, StreamVariant.INCREMENTAL);
     }
 
     @Override
     void onRequest(DeltaDiscoveryRequest request) {
         ResourceType type = resourceTypeOf(request.getTypeUrl());
         identifyProxy(request.getNode(), request.getInitialResourceVersionsCount() == 0);
-        ProxyStream stream = proxyStream;
-        if (openedTypes.add(type)) {
-            Map<ResourceName, String> versions =
-                    parseVersions(type, request.getInitialResourceVersionsMap());
-            if (!versions.isEmpty()) {
-                awaitAccepted(() -> front.core().resourcesHeld(stream, versions));
-            }
-            if (type == ResourceType.CLUSTER && request.getResourceNamesSubscribeCount() == 0) {
-                updateSubscriptions(
-                        type, List.of("*"), true); // an empty first request is a wildcard
-            }
+        ProxyStream stream = proxyStream();
+        if (markOpened(type)) {
+            onFirstRequest(stream, type, request);
         }
-        updateSubscriptions(type, request.getResourceNamesUnsubscribeList(), false);
-        updateSubscriptions(type, request.getResourceNamesSubscribeList(), true);
+        unsubscribe(type, request.getResourceNamesUnsubscribeList());
+        subscribe(type, request.getResourceNamesSubscribeList());
         if (!request.getResponseNonce().isEmpty()) {
-            long nonce = number(request.getResponseNonce());
-            String refusal =
-                    request.hasErrorDetail() ? request.getErrorDetail().getMessage() : null;
-            awaitAccepted(() -> front.core().updateAnswered(stream, nonce, refusal));
+            reportAnswer(stream, request.getResponseNonce(), rejectionOf(request));
+        }
+    }
+
+    private static Optional<String> rejectionOf(DeltaDiscoveryRequest request) {
+        return request.hasErrorDetail()
+                ? Optional.of(request.getErrorDetail().getMessage())
+                : Optional.empty();
+    }
+
+    private void onFirstRequest(
+            ProxyStream stream, ResourceType type, DeltaDiscoveryRequest request) {
+        Map<ResourceName, String> versions =
+                parseVersions(type, request.getInitialResourceVersionsMap());
+        if (!versions.isEmpty()) {
+            awaitAccepted(() -> front().core().resourcesHeld(stream, versions));
+        }
+        if (type == ResourceType.CLUSTER && request.getResourceNamesSubscribeCount() == 0) {
+            subscribe(type, WILDCARD_NAMES); // an empty first request is a wildcard
         }
     }
 
@@ -57,10 +59,9 @@
                         .setTypeUrl(ResourceEncoder.typeUrl(update.type))
                         .setNonce(Long.toString(update.id))
                         .setSystemVersionInfo(Long.toString(update.id))
-                        .setControlPlane(
-                                ControlPlane.newBuilder().setIdentifier(front.identifier(epoch)));
+                        .setControlPlane(controlPlane(epoch));
         for (RoutingResource resource : update.resources) {
-            response.addResources(XdsFront.encodedResource(resource, true, naming));
+            response.addResources(encodedResource(resource, naming));
         }
         update.removedNames.forEach(
                 name -> response.addRemovedResources(ResourceEncoder.resourceName(name)));
--- a/src/main/java/sprucelanding/front/xds/DiscoveryStream.java
+++ b/src/main/java/sprucelanding/front/xds/DiscoveryStream.java
@@ -2,88 +2,127 @@
 
 import com.google.protobuf.GeneratedMessageV3;
 import com.google.protobuf.Value;
+import io.envoyproxy.envoy.config.core.v3.ControlPlane;
 import io.envoyproxy.envoy.config.core.v3.Node;
+import io.envoyproxy.envoy.service.discovery.v3.Resource;
 import io.grpc.Status;
 import io.grpc.StatusRuntimeException;
 import io.grpc.stub.ServerCallStreamObserver;
 import io.grpc.stub.StreamObserver;
 import java.util.ArrayDeque;
 import java.util.EnumMap;
+import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import sprucelanding.control.delivery.ProxyStream;
 import sprucelanding.control.delivery.ResourceName;
 import sprucelanding.control.delivery.ResourceType;
 import sprucelanding.control.delivery.ResourceUpdate;
+import sprucelanding.control.delivery.RoutingResource;
 import sprucelanding.runtime.eventloop.EventLoop;
-import sprucelanding.runtime.governor.CoreHandle;
 import sprucelanding.runtime.governor.ResourceNaming;
 
 /**
- * One aggregated stream of a proxy, of either form. The next request is read only once the core has
- * taken the one before, so that a flood waits in the peer's own buffers. What breaks the protocol
- * ends this stream, with the reason, and no other.
+ * One aggregated discovery stream of a proxy. The next request is read only once the core has
+ * accepted the one before, so that a flood waits in the peer's own buffers. A violation of the
+ * protocol ends this stream with a status that says why, and no other stream.
+ *
+ * <p>Requests are read on transport threads, one at a time. Responses, and the end of the stream,
+ * are written on the proxy's writer thread.
  */
 abstract class DiscoveryStream<Q, R extends GeneratedMessageV3> implements StreamObserver<Q> {
-    static final int MAX_RESOURCE_NAMES = 2000;
+    static final String WILDCARD = "*";
+    static final List<String> WILDCARD_NAMES = List.of(WILDCARD);
+    private static final int MAX_RESOURCE_NAMES = 2000;
+    private static final int MAX_INITIAL_VERSIONS = 10 * MAX_RESOURCE_NAMES;
     private static final int MAX_NAME_LENGTH = 512;
+    private static final int UNIDENTIFIED_PROXY = 0;
+    private static final long INVALID_NONCE = -1;
 
-    final XdsFront front;
-    private final ServerCallStreamObserver<R> out;
-    final boolean incremental;
-    ProxyStream proxyStream;
+    /** Node metadata: the requests per second that the proxy expects. */
+    private static final String EXPECTED_RATE_FIELD = "txns_per_s";
 
-    /** The proxy's number; 0 until it is known. */
-    private volatile int number;
+    private static final double MAX_EXPECTED_RATE = 1e6;
+
+    private enum SubscriptionChange {
+        SUBSCRIBE,
+        UNSUBSCRIBE
+    }
+
+    private final XdsFront front;
+    private final ServerCallStreamObserver<R> responses;
+    private final StreamVariant variant;
+
+    /** Null before the first request and after the end. Cleared under the subscriptions' lock. */
+    private ProxyStream proxyStream;
+
+    /** UNIDENTIFIED_PROXY before the first request; read by transport and writer threads. */
+    private volatile int proxyId = UNIDENTIFIED_PROXY;
 
     private boolean started;
-    private boolean closed;
 
-    /** Messages that the transport has no room for; on the writing thread. Delivery bounds them. */
+    /** Set and read on the writer thread, which may change once when the proxy is identified. */
+    private volatile boolean closed;
+
+    /** Updates that the transport has no room for; on the writer thread. Delivery bounds them. */
     private final ArrayDeque<ResourceUpdate> pendingUpdates = new ArrayDeque<>();
 
-    /** Names asked for, by kind. */
+    /** Types of which a request was read. */
+    private final Set<ResourceType> openedTypes = EnumSet.noneOf(ResourceType.class);
+
     private final Map<ResourceType, Set<ResourceName>> subscriptions =
             new EnumMap<>(ResourceType.class);
 
-    DiscoveryStream(XdsFront front, StreamObserver<R> out, boolean incremental) {
+    DiscoveryStream(XdsFront front, StreamObserver<R> responses, StreamVariant variant) {
         this.front = front;
-        this.out = (ServerCallStreamObserver<R>) out;
-        this.incremental = incremental;
-        this.out.disableAutoRequest();
-        this.out.setOnCancelHandler(this::reportClosed);
-        this.out.setOnReadyHandler(
-                () -> { // not before the transport can hand the request on
-                    if (!started) {
-                        started = true;
-                        this.out.request(1);
-                    } else {
-                        front.submitWrite(number, () -> writePending(front.naming()));
-                    }
-                });
+        this.responses = (ServerCallStreamObserver<R>) responses;
+        this.variant = variant;
+        this.responses.disableAutoRequest();
+        this.responses.setOnCancelHandler(this::reportClosed);
+        this.responses.setOnReadyHandler(this::onReady);
         for (ResourceType type : ResourceType.values()) {
             subscriptions.put(type, new HashSet<>());
         }
     }
 
-    /** Reads one request; a StatusRuntimeException ends the stream. */
+    /** Handles one request; a StatusRuntimeException ends the stream. */
     abstract void onRequest(Q request);
 
+    /** Encodes a response; on the writer thread. */
     abstract R encodeResponse(ResourceUpdate update, long epoch, ResourceNaming naming);
 
+    final XdsFront front() {
+        return front;
+    }
+
+    final ProxyStream proxyStream() {
+        return proxyStream;
+    }
+
+    private void onReady() {
+        if (!started) { // not earlier: before, the transport can't hand the request on
+            started = true;
+            responses.request(1);
+        } else {
+            front.submitWrite(proxyId, () -> writePending(front.naming()));
+        }
+    }
+
     @Override
     public void onNext(Q request) {
         try {
             onRequest(request);
-            out.request(1);
+            responses.request(1);
         } catch (StatusRuntimeException e) {
             front.streamRejected(proxyStream, e.getStatus());
             terminate(e.getStatus());
-        } catch (RuntimeException e) { // a fault of ours: this stream ends, the proxy dials again
+        } catch (RuntimeException e) {
+            // A fault of this program must not end other streams; the proxy connects again.
             front.streamRejected(
                     proxyStream, Status.INTERNAL.withDescription(e.toString()).withCause(e));
             terminate(Status.INTERNAL);
@@ -98,19 +137,19 @@
     @Override
     public void onCompleted() {
         reportClosed();
-        front.submitWrite(
-                number,
-                () -> {
-                    if (!closed) {
-                        closed = true;
-                        out.onCompleted();
-                    }
-                });
+        front.submitWrite(proxyId, this::complete);
+    }
+
+    private void complete() {
+        if (!closed) {
+            closed = true;
+            responses.onCompleted();
+        }
     }
 
     private void reportClosed() {
         ProxyStream closedStream;
-        synchronized (subscriptions) { // from the transport's threads, and from the writing one
+        synchronized (subscriptions) { // by transport and writer threads
             closedStream = proxyStream;
             proxyStream = null;
         }
@@ -119,89 +158,118 @@
         }
     }
 
-    /**
-     * Waits until the core has taken it: only this stream's thread, which serves this stream's
-     * peers, is held up.
-     */
+    /** Waits until the core accepts; holds up only the thread that serves this stream's peers. */
     final void awaitAccepted(BooleanSupplier notification) {
-        front.retryUntilAccepted(notification);
+        front.awaitAccepted(notification);
     }
 
-    /** The first request says who dialled. */
+    /**
+     * Tells the core of the proxy when the first request names it.
+     *
+     * @param withoutVersions whether the proxy holds nothing yet
+     */
     final void identifyProxy(Node node, boolean withoutVersions) {
         if (proxyStream != null) {
             return;
         }
+        proxyId = assignProxyId(node);
+        ProxyStream stream = new ProxyStream(proxyId, variant.updateMode(), this);
+        proxyStream = stream;
+        String zone = node.getLocality().getZone();
+        double requestsPerSecond = expectedRequestsPerSecond(node);
+        awaitAccepted(
+                () ->
+                        front.core()
+                                .proxyConnected(
+                                        front, stream, zone, requestsPerSecond, withoutVersions));
+    }
+
+    private int assignProxyId(Node node) {
         if (node.getId().isEmpty() || node.getId().length() > MAX_NAME_LENGTH) {
             throw Status.INVALID_ARGUMENT
                     .withDescription("node.id: expected 1 to 512 characters")
                     .asRuntimeException();
         }
-        int proxyId = front.core().proxyId(node.getId());
-        if (proxyId < 0) {
+        int assigned = front.core().proxyId(node.getId());
+        if (assigned < 0) {
             throw Status.RESOURCE_EXHAUSTED
                     .withDescription("too many proxies")
                     .asRuntimeException();
         }
-        number = proxyId;
-        proxyStream =
-                new ProxyStream(
-                        proxyId,
-                        incremental ? ProxyStream.UpdateMode.CHANGES : ProxyStream.UpdateMode.WHOLE,
-                        this);
-        Value expectedRate =
-                node.getMetadata().getFieldsOrDefault("txns_per_s", Value.getDefaultInstance());
-        double requestsPerSecond =
-                expectedRate.getNumberValue() >= 0 && expectedRate.getNumberValue() < 1e6
-                        ? expectedRate.getNumberValue()
-                        : 0;
-        ProxyStream stream = proxyStream;
-        awaitAccepted(
-                () ->
-                        front.core()
-                                .proxyConnected(
-                                        front,
-                                        stream,
-                                        node.getLocality().getZone(),
-                                        requestsPerSecond,
-                                        withoutVersions));
+        return assigned;
     }
 
-    final void updateSubscriptions(ResourceType type, List<String> names, boolean subscribe) {
-        CoreHandle core = front.core();
+    private static double expectedRequestsPerSecond(Node node) {
+        double rate =
+                node.getMetadata()
+                        .getFieldsOrDefault(EXPECTED_RATE_FIELD, Value.getDefaultInstance())
+                        .getNumberValue();
+        return rate >= 0 && rate < MAX_EXPECTED_RATE ? rate : 0;
+    }
+
+    /** Notes a request of a type; true for the first. */
+    final boolean markOpened(ResourceType type) {
+        return openedTypes.add(type);
+    }
+
+    final Set<ResourceName> subscriptions(ResourceType type) {
+        return subscriptions.get(type);
+    }
+
+    final void subscribe(ResourceType type, List<String> names) {
+        changeSubscriptions(type, names, SubscriptionChange.SUBSCRIBE);
+    }
+
+    final void unsubscribe(ResourceType type, List<String> names) {
+        changeSubscriptions(type, names, SubscriptionChange.UNSUBSCRIBE);
+    }
+
+    private void changeSubscriptions(
+            ResourceType type, List<String> names, SubscriptionChange change) {
         ProxyStream stream = proxyStream;
         for (String text : names) {
-            if (text.length() > MAX_NAME_LENGTH) {
-                throw Status.INVALID_ARGUMENT
-                        .withDescription("a resource name of " + text.length() + " characters")
-                        .asRuntimeException();
-            }
-            ResourceName name =
-                    text.equals("*") && type == ResourceType.CLUSTER
-                            ? ResourceName.cluster(0)
-                            : ResourceEncoder.resourceName(type, text);
-            if (name == null || type == ResourceType.CLUSTER && !text.equals("*")) {
-                continue; // no such resource: nothing is sent for it
-            }
-            Set<ResourceName> subscribed = subscriptions.get(type);
-            if (subscribe ? subscribed.add(name) : subscribed.remove(name)) {
-                awaitAccepted(
-                        () -> core.subscriptionChanged(stream, type, name.table(), subscribe));
-            }
-            if (subscribed.size() > MAX_RESOURCE_NAMES) {
-                throw Status.RESOURCE_EXHAUSTED
-                        .withDescription("more than " + MAX_RESOURCE_NAMES + " names of one type")
-                        .asRuntimeException();
+            ResourceName name = subscriptionName(type, text);
+            if (name != null) { // for a resource that can't exist nothing is sent
+                changeSubscription(stream, name, change);
             }
         }
     }
 
-    final Set<ResourceName> subscriptions(ResourceType type) {
-        return subscriptions.get(type);
+    private void changeSubscription(
+            ProxyStream stream, ResourceName name, SubscriptionChange change) {
+        Set<ResourceName> subscribed = subscriptions.get(name.type());
+        boolean subscribes = change == SubscriptionChange.SUBSCRIBE;
+        boolean isChanged = subscribes ? subscribed.add(name) : subscribed.remove(name);
+        if (isChanged) {
+            awaitAccepted(
+                    () ->
+                            front.core()
+                                    .subscriptionChanged(
+                                            stream, name.type(), name.table(), subscribes));
+        }
+        if (subscribed.size() > MAX_RESOURCE_NAMES) {
+            throw Status.RESOURCE_EXHAUSTED
+                    .withDescription("more than " + MAX_RESOURCE_NAMES + " names of one type")
+                    .asRuntimeException();
+        }
+    }
+
+    /** The resource to subscribe to, clusters only by the wildcard; null if there is none. */
+    private static ResourceName subscriptionName(ResourceType type, String text) {
+        if (text.length() > MAX_NAME_LENGTH) {
+            throw Status.INVALID_ARGUMENT
+                    .withDescription("a resource name of " + text.length() + " characters")
+                    .asRuntimeException();
+        }
+        if (type == ResourceType.CLUSTER) {
+            return text.equals(WILDCARD) ? ResourceName.cluster(0) : null;
+        }
+        return ResourceEncoder.resourceName(type, text);
     }
 
+    /** What a proxy that connects again says it holds; names that can't exist are left out. */
     final Map<ResourceName, String> parseVersions(ResourceType type, Map<String, String> reported) {
-        if (reported.size() > 10 * MAX_RESOURCE_NAMES) {
+        if (reported.size() > MAX_INITIAL_VERSIONS) {
             throw Status.RESOURCE_EXHAUSTED
                     .withDescription("initial_resource_versions names " + reported.size())
                     .asRuntimeException();
@@ -217,31 +285,54 @@
         return versionsByName;
     }
 
+    /**
+     * Tells the core that a response was acknowledged or rejected.
+     *
+     * @param rejection why the proxy rejects the response; empty if it acknowledges it
+     */
+    final void reportAnswer(ProxyStream stream, String nonce, Optional<String> rejection) {
+        long updateId = parseNonce(nonce);
+        awaitAccepted(() -> front.core().updateAnswered(stream, updateId, rejection.orElse(null)));
+    }
+
+    static long parseNonce(String nonce) {
+        try {
+            return Long.parseLong(nonce);
+        } catch (NumberFormatException e) {
+            return INVALID_NONCE;
+        }
+    }
+
     static ResourceType resourceTypeOf(String typeUrl) {
         ResourceType resourceType = ResourceEncoder.resourceType(typeUrl);
         if (resourceType == null) {
+            String shown = typeUrl.substring(0, Math.min(typeUrl.length(), MAX_NAME_LENGTH));
             throw Status.INVALID_ARGUMENT
-                    .withDescription(
-                            "type_url: \""
-                                    + typeUrl.substring(
-                                            0, Math.min(typeUrl.length(), MAX_NAME_LENGTH))
-                                    + "\" is not served")
+                    .withDescription("type_url: \"" + shown + "\" is not served")
                     .asRuntimeException();
         }
         return resourceType;
     }
 
-    static long number(String nonce) {
-        try {
-            return Long.parseLong(nonce);
-        } catch (NumberFormatException e) {
-            return -1;
-        }
+    final ControlPlane.Builder controlPlane(long epoch) {
+        return ControlPlane.newBuilder().setIdentifier(front.identifier(epoch));
+    }
+
+    /** Proxies with one routing table hold the same entries: each is encoded once. */
+    final Resource encodedResource(RoutingResource resource, ResourceNaming naming) {
+        return resource.encoded(
+                variant.encodingIndex(),
+                unencoded ->
+                        Resource.newBuilder()
+                                .setName(ResourceEncoder.resourceName(unencoded.name()))
+                                .setVersion(unencoded.version())
+                                .setResource(ResourceEncoder.encode(unencoded, variant, naming))
+                                .build());
     }
 
-    /** On the writing thread; how many bytes it was. */
+    /** Writes an update as soon as the transport takes it; on the writer thread. */
     final void enqueue(ResourceUpdate update, ResourceNaming naming) {
-        if (closed || out.isCancelled()) {
+        if (closed || responses.isCancelled()) {
             return;
         }
         pendingUpdates.add(update);
@@ -249,12 +340,14 @@
     }
 
     /**
-     * Writes what waits, as long as the transport takes it: what it has not taken yet is still
-     * looked at again before it leaves. A governor that stood still finds here that its lease has
-     * run out; nothing more leaves on this stream then.
+     * Writes what is pending while the transport takes it. The lease is checked before each write:
+     * a governor that was paused finds here that its lease has expired, and writes nothing more.
      */
     private void writePending(ResourceNaming naming) {
-        while (!pendingUpdates.isEmpty() && !closed && !out.isCancelled() && out.isReady()) {
+        while (!pendingUpdates.isEmpty()
+                && !closed
+                && !responses.isCancelled()
+                && responses.isReady()) {
             ResourceUpdate next = pendingUpdates.poll();
             ProxyStream.Lease lease = next.stream.lease();
             if (!lease.isValidAt(EventLoop.nowMillis())) {
@@ -265,7 +358,7 @@
                 return;
             }
             R response = encodeResponse(next, lease.epoch(), naming);
-            out.onNext(response);
+            responses.onNext(response);
             front.updateWritten(next, response.getSerializedSize());
         }
     }
@@ -274,13 +367,14 @@
         if (!closed) {
             closed = true;
             pendingUpdates.clear();
-            out.onError(status.asRuntimeException());
+            responses.onError(status.asRuntimeException());
         }
         reportClosed(); // only now: nothing more is written on it
     }
 
+    /** Ends the stream with a status, after what the writer thread has begun. */
     final void terminate(Status status) {
-        if (!front.submitWrite(number, () -> closeWith(status))) {
+        if (!front.submitWrite(proxyId, () -> closeWith(status))) {
             reportClosed();
         }
     }
--- a/src/main/java/sprucelanding/front/xds/ResourceEncoder.java
+++ b/src/main/java/sprucelanding/front/xds/ResourceEncoder.java
@@ -1,7 +1,6 @@
 package sprucelanding.front.xds;
 
 import com.google.protobuf.Any;
-import com.google.protobuf.Duration;
 import com.google.protobuf.Message;
 import com.google.protobuf.UInt32Value;
 import io.envoyproxy.envoy.config.cluster.v3.Cluster;
@@ -10,24 +9,12 @@
 import io.envoyproxy.envoy.config.core.v3.ApiVersion;
 import io.envoyproxy.envoy.config.core.v3.ConfigSource;
 import io.envoyproxy.envoy.config.core.v3.HealthStatus;
-import io.envoyproxy.envoy.config.core.v3.RuntimeFractionalPercent;
 import io.envoyproxy.envoy.config.core.v3.SocketAddress;
 import io.envoyproxy.envoy.config.endpoint.v3.ClusterLoadAssignment;
 import io.envoyproxy.envoy.config.endpoint.v3.Endpoint;
 import io.envoyproxy.envoy.config.endpoint.v3.LbEndpoint;
 import io.envoyproxy.envoy.config.endpoint.v3.LedsClusterLocalityConfig;
 import io.envoyproxy.envoy.config.endpoint.v3.LocalityLbEndpoints;
-import io.envoyproxy.envoy.config.route.v3.DirectResponseAction;
-import io.envoyproxy.envoy.config.route.v3.RetryPolicy;
-import io.envoyproxy.envoy.config.route.v3.Route;
-import io.envoyproxy.envoy.config.route.v3.RouteAction;
-import io.envoyproxy.envoy.config.route.v3.RouteConfiguration;
-import io.envoyproxy.envoy.config.route.v3.RouteMatch;
-import io.envoyproxy.envoy.config.route.v3.VirtualHost;
-import io.envoyproxy.envoy.extensions.filters.http.local_ratelimit.v3.LocalRateLimit;
-import io.envoyproxy.envoy.type.v3.FractionalPercent;
-import io.envoyproxy.envoy.type.v3.TokenBucket;
-import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.delivery.ResourceName;
 import sprucelanding.control.delivery.ResourceType;
 import sprucelanding.control.delivery.RoutingResource;
@@ -35,25 +22,44 @@
 import sprucelanding.runtime.governor.ResourceNaming;
 
 /**
- * Puts items into resources, and names into resource names. A table is a cluster t0, t1 ...; its
- * lines are LbEndpoints of a collection (LEDS, xdstp names) on delta streams and inline endpoints
- * on others; a binding with its levels and retries is the one RouteConfiguration.
+ * Converts between routing resources and xDS resources, and between their names. A routing table is
+ * a cluster t0, t1 ...; its entries are LbEndpoints of a collection (LEDS, xdstp names) on
+ * incremental streams and inline endpoints on others; all routes are the one RouteConfiguration.
  */
 public final class ResourceEncoder {
+
+    /** Begins the type URL of every resource. */
     public static final String TYPE_URL_PREFIX = "type.googleapis.com/";
+
+    /** The type URL of clusters. */
     public static final String CDS_TYPE_URL = TYPE_URL_PREFIX + "envoy.config.cluster.v3.Cluster";
+
+    /** The type URL of the endpoints of a cluster. */
     public static final String EDS_TYPE_URL =
             TYPE_URL_PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment";
+
+    /** The type URL of single endpoints. */
     public static final String LEDS_TYPE_URL =
             TYPE_URL_PREFIX + "envoy.config.endpoint.v3.LbEndpoint";
+
+    /** The type URL of routes. */
     public static final String RDS_TYPE_URL =
             TYPE_URL_PREFIX + "envoy.config.route.v3.RouteConfiguration";
+
+    /** The name of the only route configuration, and of its statistics. */
     public static final String ROUTE_CONFIG_NAME = "txns";
+
+    /** Begins the resource names of single endpoints and their collections. */
     public static final String ENDPOINT_NAME_PREFIX =
             "xdstp://sprucelanding/envoy.config.endpoint.v3.LbEndpoint/";
+
+    /** The filter that admits requests by rate. */
     public static final String RATE_LIMIT_FILTER = "envoy.filters.http.local_ratelimit";
-    private static final int MILLION = 1_000_000;
-    private static final int SHED_STATUS = 503;
+
+    private static final String TABLE_PREFIX = "t";
+    private static final String COLLECTION_MEMBER = "*";
+    private static final long COLLECTION_ID = 0;
+
     private static final ConfigSource ADS_CONFIG_SOURCE =
             ConfigSource.newBuilder()
                     .setResourceApiVersion(ApiVersion.V3)
@@ -62,6 +68,7 @@
 
     private ResourceEncoder() {}
 
+    /** The type URL of a resource type. */
     public static String typeUrl(ResourceType type) {
         return switch (type) {
             case CLUSTER -> CDS_TYPE_URL;
@@ -71,7 +78,7 @@
         };
     }
 
-    /** Null for a type that is not served. */
+    /** The resource type of a type URL; null for one that isn't served. */
     public static ResourceType resourceType(String typeUrl) {
         return switch (typeUrl) {
             case CDS_TYPE_URL -> ResourceType.CLUSTER;
@@ -82,52 +89,65 @@
         };
     }
 
+    /** The xDS name of a resource. */
     public static String resourceName(ResourceName name) {
         return switch (name.type()) {
-            case CLUSTER, ENDPOINTS -> "t" + name.table();
-            case LINE -> ENDPOINT_NAME_PREFIX + "t" + name.table() + "/" + name.endpointId();
+            case CLUSTER, ENDPOINTS -> TABLE_PREFIX + name.table();
+            case LINE ->
+                    ENDPOINT_NAME_PREFIX + TABLE_PREFIX + name.table() + "/" + name.endpointId();
             case ROUTE -> ROUTE_CONFIG_NAME;
         };
     }
 
-    /** The collection of a table's lines. */
+    /** The name of the collection of a table's entries. */
     public static String endpointCollection(int table) {
-        return ENDPOINT_NAME_PREFIX + "t" + table + "/*";
+        return ENDPOINT_NAME_PREFIX + TABLE_PREFIX + table + "/*";
     }
 
     /**
-     * The name that a resource name stands for, a collection by replica 0; null if it is none of
-     * ours.
+     * Parses an xDS name; a collection has the endpoint id 0.
+     *
+     * @return null if no such resource can exist
      */
     public static ResourceName resourceName(ResourceType type, String text) {
         if (type == ResourceType.ROUTE) {
             return text.equals(ROUTE_CONFIG_NAME) ? ResourceName.ROUTE : null;
         }
-        String tableName = text;
-        String endpointId = "0";
-        if (type == ResourceType.LINE) {
-            if (!text.startsWith(ENDPOINT_NAME_PREFIX)) {
-                return null;
-            }
-            tableName = text.substring(ENDPOINT_NAME_PREFIX.length());
-            int slash = tableName.indexOf('/');
-            if (slash < 0) {
-                return null;
-            }
-            endpointId = tableName.substring(slash + 1);
-            tableName = tableName.substring(0, slash);
+        if (type != ResourceType.LINE) {
+            return parseName(type, text, COLLECTION_MEMBER);
+        }
+        if (!text.startsWith(ENDPOINT_NAME_PREFIX)) {
+            return null;
+        }
+        String path = text.substring(ENDPOINT_NAME_PREFIX.length());
+        int slash = path.indexOf('/');
+        return slash < 0
+                ? null
+                : parseName(type, path.substring(0, slash), path.substring(slash + 1));
+    }
+
+    private static ResourceName parseName(ResourceType type, String tableName, String endpointId) {
+        if (!tableName.startsWith(TABLE_PREFIX)) {
+            return null;
         }
         try {
-            int table = tableName.startsWith("t") ? Integer.parseInt(tableName.substring(1)) : -1;
-            long id = endpointId.equals("*") ? 0 : Long.parseLong(endpointId);
+            int table = Integer.parseInt(tableName.substring(TABLE_PREFIX.length()));
+            long id =
+                    endpointId.equals(COLLECTION_MEMBER)
+                            ? COLLECTION_ID
+                            : Long.parseLong(endpointId);
             return table < 0 || id < 0 ? null : new ResourceName(type, table, id);
         } catch (NumberFormatException e) {
             return null;
         }
     }
 
-    /** The resource; throws IllegalStateException for a line of a replica that was never listed. */
-    static Any encode(RoutingResource resource, boolean incremental, ResourceNaming naming) {
+    /**
+     * Encodes a resource for one form of the protocol.
+     *
+     * @throws IllegalStateException if an entry's endpoint was never listed
+     */
+    static Any encode(RoutingResource resource, StreamVariant variant, ResourceNaming naming) {
         Message message =
                 switch (resource.name().type()) {
                     case CLUSTER ->
@@ -138,9 +158,10 @@
                                             Cluster.EdsClusterConfig.newBuilder()
                                                     .setEdsConfig(ADS_CONFIG_SOURCE))
                                     .build();
-                    case ENDPOINTS -> loadAssignment(resource, incremental, naming);
+                    case ENDPOINTS -> loadAssignment(resource, variant, naming);
                     case LINE -> lbEndpoint(resource.entries().get(0), naming);
-                    case ROUTE -> routeConfiguration(resource, naming);
+                    case ROUTE -> RouteEncoder.encode(resource, naming);
+                    default -> throw new AssertionError(resource.name().type());
                 };
         return Any.newBuilder()
                 .setTypeUrl(typeUrl(resource.name().type()))
@@ -149,10 +170,10 @@
     }
 
     private static ClusterLoadAssignment loadAssignment(
-            RoutingResource resource, boolean incremental, ResourceNaming naming) {
+            RoutingResource resource, StreamVariant variant, ResourceNaming naming) {
         LocalityLbEndpoints.Builder locality =
                 LocalityLbEndpoints.newBuilder().setLoadBalancingWeight(UInt32Value.of(1));
-        if (incremental) {
+        if (variant == StreamVariant.INCREMENTAL) {
             locality.setLedsClusterLocalityConfig(
                     LedsClusterLocalityConfig.newBuilder()
                             .setLedsConfig(ADS_CONFIG_SOURCE)
@@ -184,78 +205,4 @@
                 .setLoadBalancingWeight(UInt32Value.of(entry.weight()))
                 .build();
     }
-
-    private static RouteConfiguration routeConfiguration(
-            RoutingResource resource, ResourceNaming naming) {
-        VirtualHost.Builder virtualHost =
-                VirtualHost.newBuilder().setName(ROUTE_CONFIG_NAME).addDomains("*");
-        for (RoutingResource.RouteRule rule : resource.rules()) {
-            RouteMatch match =
-                    RouteMatch.newBuilder()
-                            .setPrefix("/" + naming.requestClassNames().get(rule.requestClass()))
-                            .build();
-            RouteAction.Builder action = RouteAction.newBuilder().setCluster("t" + rule.table());
-            if (rule.retryMode() != ControllerOutput.RETRY_NEVER) {
-                action.setRetryPolicy(
-                        RetryPolicy.newBuilder()
-                                .setNumRetries(UInt32Value.of(1))
-                                .setRetryOn(
-                                        rule.retryMode() == ControllerOutput.RETRY_IF_NOT_EXECUTED
-                                                ? "connect-failure,refused-stream"
-                                                : "5xx,reset,connect-failure"));
-            }
-            Route.Builder route = Route.newBuilder().setRoute(action);
-            if (naming.admitsByRate() && rule.admittedLevel() < MILLION) {
-                route.setMatch(match)
-                        .putTypedPerFilterConfig(
-                                RATE_LIMIT_FILTER, Any.pack(localRateLimit(rule.admittedLevel())));
-                virtualHost.addRoutes(route);
-            } else if (!naming.admitsByRate() && rule.admittedLevel() < 1) {
-                RouteMatch admittedMatch =
-                        match.toBuilder()
-                                .setRuntimeFraction(
-                                        RuntimeFractionalPercent.newBuilder()
-                                                .setDefaultValue(
-                                                        FractionalPercent.newBuilder()
-                                                                .setNumerator(
-                                                                        (int)
-                                                                                (rule
-                                                                                                .admittedLevel()
-                                                                                        * MILLION))
-                                                                .setDenominator(
-                                                                        FractionalPercent
-                                                                                .DenominatorType
-                                                                                .MILLION)))
-                                .build();
-                virtualHost.addRoutes(route.setMatch(admittedMatch));
-                virtualHost.addRoutes(
-                        Route.newBuilder()
-                                .setMatch(match)
-                                .setDirectResponse(
-                                        DirectResponseAction.newBuilder().setStatus(SHED_STATUS)));
-            } else {
-                virtualHost.addRoutes(route.setMatch(match));
-            }
-        }
-        return RouteConfiguration.newBuilder()
-                .setName(ROUTE_CONFIG_NAME)
-                .addVirtualHosts(virtualHost)
-                .build();
-    }
-
-    private static LocalRateLimit localRateLimit(double perSecond) {
-        int tokens = (int) Math.max(1, Math.rint(perSecond));
-        long fillNanos = (long) (tokens / Math.max(perSecond, 1e-3) * 1e9);
-        return LocalRateLimit.newBuilder()
-                .setStatPrefix(ROUTE_CONFIG_NAME)
-                .setTokenBucket(
-                        TokenBucket.newBuilder()
-                                .setMaxTokens(tokens)
-                                .setTokensPerFill(UInt32Value.of(tokens))
-                                .setFillInterval(
-                                        Duration.newBuilder()
-                                                .setSeconds(fillNanos / 1_000_000_000)
-                                                .setNanos((int) (fillNanos % 1_000_000_000))))
-                .build();
-    }
 }
--- a/src/main/java/sprucelanding/front/xds/StateOfTheWorldStream.java
+++ b/src/main/java/sprucelanding/front/xds/StateOfTheWorldStream.java
@@ -1,13 +1,11 @@
 package sprucelanding.front.xds;
 
-import io.envoyproxy.envoy.config.core.v3.ControlPlane;
 import io.envoyproxy.envoy.service.discovery.v3.DiscoveryRequest;
 import io.envoyproxy.envoy.service.discovery.v3.DiscoveryResponse;
 import io.grpc.stub.StreamObserver;
-import java.util.EnumSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 import sprucelanding.control.delivery.ProxyStream;
 import sprucelanding.control.delivery.ResourceType;
@@ -16,53 +14,66 @@
 import sprucelanding.runtime.governor.ResourceNaming;
 
 /**
- * The state-of-the-world form: a request names all that is wanted of a type, and a stale nonce
- * makes it void.
+ * A stream of the state-of-the-world form: each request names all resources that are wanted of a
+ * type, and one with a stale nonce is ignored.
  */
 final class StateOfTheWorldStream extends DiscoveryStream<DiscoveryRequest, DiscoveryResponse> {
-    private final Set<ResourceType> openedTypes = EnumSet.noneOf(ResourceType.class);
+    private static final long NO_NONCE = -1;
 
-    /** The newest message of each kind: requests with an older nonce are left alone. */
+    /** The latest response of each type; written by a writer thread, read by the transport's. */
     private final Map<ResourceType, Long> latestNonceByType = new ConcurrentHashMap<>();
 
-    StateOfTheWorldStream(XdsFront front, StreamObserver<DiscoveryResponse> out) {
-        super(front, out, false);
+    StateOfTheWorldStream(XdsFront front, StreamObserver<DiscoveryResponse> responses) {
+        super(front, responses, StreamVariant.STATE_OF_THE_WORLD);
     }
 
     @Override
     void onRequest(DiscoveryRequest request) {
         ResourceType type = resourceTypeOf(request.getTypeUrl());
         identifyProxy(request.getNode(), request.getVersionInfo().isEmpty());
-        ProxyStream stream = proxyStream;
-        boolean first = openedTypes.add(type);
-        if (!first
-                && number(request.getResponseNonce()) != latestNonceByType.getOrDefault(type, -1L)
-                && !request.getResponseNonce().isEmpty()) {
+        ProxyStream stream = proxyStream();
+        boolean isFirst = markOpened(type);
+        String nonce = request.getResponseNonce();
+        if (!isFirst && !nonce.isEmpty() && isStale(type, nonce)) {
             return;
         }
         if (type == ResourceType.CLUSTER) {
-            if (first && request.getResourceNamesCount() == 0) {
-                updateSubscriptions(type, List.of("*"), true);
-            }
-            updateSubscriptions(type, request.getResourceNamesList(), true);
+            subscribeToClusters(request, isFirst);
         } else {
-            List<String> wanted = request.getResourceNamesList();
-            List<String> unsubscribed =
-                    subscriptions(type).stream()
-                            .map(ResourceEncoder::resourceName)
-                            .filter(name -> !wanted.contains(name))
-                            .toList();
-            updateSubscriptions(type, unsubscribed, false);
-            updateSubscriptions(type, wanted, true);
+            replaceSubscriptions(type, request.getResourceNamesList());
         }
-        if (!request.getResponseNonce().isEmpty() && !first) {
-            long nonce = number(request.getResponseNonce());
-            String refusal =
-                    request.hasErrorDetail() ? request.getErrorDetail().getMessage() : null;
-            awaitAccepted(() -> front.core().updateAnswered(stream, nonce, refusal));
+        if (!nonce.isEmpty() && !isFirst) {
+            reportAnswer(stream, nonce, rejectionOf(request));
         }
     }
 
+    private static Optional<String> rejectionOf(DiscoveryRequest request) {
+        return request.hasErrorDetail()
+                ? Optional.of(request.getErrorDetail().getMessage())
+                : Optional.empty();
+    }
+
+    private boolean isStale(ResourceType type, String nonce) {
+        return parseNonce(nonce) != latestNonceByType.getOrDefault(type, NO_NONCE);
+    }
+
+    private void subscribeToClusters(DiscoveryRequest request, boolean isFirst) {
+        if (isFirst && request.getResourceNamesCount() == 0) {
+            subscribe(ResourceType.CLUSTER, WILDCARD_NAMES);
+        }
+        subscribe(ResourceType.CLUSTER, request.getResourceNamesList());
+    }
+
+    private void replaceSubscriptions(ResourceType type, List<String> wanted) {
+        List<String> unwanted =
+                subscriptions(type).stream()
+                        .map(ResourceEncoder::resourceName)
+                        .filter(name -> !wanted.contains(name))
+                        .toList();
+        unsubscribe(type, unwanted);
+        subscribe(type, wanted);
+    }
+
     @Override
     DiscoveryResponse encodeResponse(ResourceUpdate update, long epoch, ResourceNaming naming) {
         latestNonceByType.put(update.type, update.id);
@@ -71,10 +82,9 @@
                         .setTypeUrl(ResourceEncoder.typeUrl(update.type))
                         .setNonce(Long.toString(update.id))
                         .setVersionInfo(Long.toString(update.id))
-                        .setControlPlane(
-                                ControlPlane.newBuilder().setIdentifier(front.identifier(epoch)));
+                        .setControlPlane(controlPlane(epoch));
         for (RoutingResource resource : update.resources) {
-            response.addResources(XdsFront.encodedResource(resource, false, naming).getResource());
+            response.addResources(encodedResource(resource, naming).getResource());
         }
         return response.build();
     }
--- a/src/main/java/sprucelanding/front/xds/XdsFront.java
+++ b/src/main/java/sprucelanding/front/xds/XdsFront.java
@@ -5,7 +5,6 @@
 import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryResponse;
 import io.envoyproxy.envoy.service.discovery.v3.DiscoveryRequest;
 import io.envoyproxy.envoy.service.discovery.v3.DiscoveryResponse;
-import io.envoyproxy.envoy.service.discovery.v3.Resource;
 import io.grpc.Server;
 import io.grpc.Status;
 import io.grpc.netty.shaded.io.grpc.netty.NettyServerBuilder;
@@ -14,41 +13,51 @@
 import io.grpc.stub.StreamObserver;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sprucelanding.control.delivery.ProxyStream;
 import sprucelanding.control.delivery.ResourceUpdate;
-import sprucelanding.control.delivery.RoutingResource;
+import sprucelanding.front.CoreNotifier;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.runtime.governor.CoreHandle;
 import sprucelanding.runtime.governor.Front;
 import sprucelanding.runtime.governor.ResourceNaming;
 
-/** Serves proxies that speak xDS. Open it, give it to the governor, then start it. */
+/**
+ * Serves proxies that speak xDS: listens, and hands messages between their streams and the core.
+ * Construct it, register it with the governor, then start it. Thread-safe.
+ */
 public final class XdsFront implements Front {
     private static final Logger LOG = LoggerFactory.getLogger(XdsFront.class);
-    private static final int WRITER_THREADS = 2;
-    private static final int MAX_PENDING_WRITES = 65_536;
     private static final int FLOW_CONTROL_WINDOW_BYTES = 256 * 1024;
+    private static final int ACCEPT_THREADS = 1;
+    private static final int TRANSPORT_THREADS = 2;
+    private static final int MAX_CALLS_PER_CONNECTION = 8;
+    private static final int KEEP_ALIVE_SECONDS = 5;
+    private static final int MIN_CLIENT_KEEP_ALIVE_SECONDS = 1;
+    private static final int UNIDENTIFIED_PROXY = -1;
 
     private final CoreHandle core;
     private final ResourceNaming naming;
     private final String identifier;
     private final InetSocketAddress bindAddress;
     private final Server server;
-    private final NioEventLoopGroup acceptGroup = new NioEventLoopGroup(1);
-    private final NioEventLoopGroup workerGroup = new NioEventLoopGroup(2);
-    private final Writer[] writers = new Writer[WRITER_THREADS];
-    private volatile boolean closed;
+    private final NioEventLoopGroup acceptGroup = new NioEventLoopGroup(ACCEPT_THREADS);
+    private final NioEventLoopGroup workerGroup = new NioEventLoopGroup(TRANSPORT_THREADS);
+    private final ResponseWriters writers = new ResponseWriters();
+    private final CoreNotifier notifier = new CoreNotifier();
 
     /**
-     * @param identifier this governor, as proxies are told
-     * @param largest bytes of a message from a proxy
-     * @param reports ms between load reports
+     * Creates a front that doesn't listen yet.
+     *
+     * @param core receives what proxies request and report
+     * @param naming names of request classes and addresses of endpoints
+     * @param identifier how proxies are told of this governor
+     * @param bindAddress where to listen
+     * @param maxMessageBytes the largest message that is accepted from a proxy
+     * @param reportIntervalMillis ms between load reports
      */
     public XdsFront(
             CoreHandle core,
@@ -69,46 +78,13 @@
                         .directExecutor()
                         .maxInboundMessageSize(maxMessageBytes)
                         .flowControlWindow(FLOW_CONTROL_WINDOW_BYTES)
-                        .keepAliveTime(5, TimeUnit.SECONDS)
-                        .keepAliveTimeout(5, TimeUnit.SECONDS)
-                        .permitKeepAliveTime(1, TimeUnit.SECONDS)
-                        .maxConcurrentCallsPerConnection(8)
+                        .keepAliveTime(KEEP_ALIVE_SECONDS, TimeUnit.SECONDS)
+                        .keepAliveTimeout(KEEP_ALIVE_SECONDS, TimeUnit.SECONDS)
+                        .permitKeepAliveTime(MIN_CLIENT_KEEP_ALIVE_SECONDS, TimeUnit.SECONDS)
+                        .maxConcurrentCallsPerConnection(MAX_CALLS_PER_CONNECTION)
                         .addService(new DiscoveryService())
                         .addService(new LoadReportingService(this, naming, reportIntervalMillis))
                         .build();
-        for (int resourceToEncode = 0; resourceToEncode < WRITER_THREADS; resourceToEncode++) {
-            writers[resourceToEncode] = new Writer("xds-writer-" + resourceToEncode);
-        }
-    }
-
-    /**
-     * One thread that puts messages into words; a stream always has the same one, so that its
-     * messages keep their order.
-     */
-    private final class Writer implements Runnable {
-        final ArrayBlockingQueue<Runnable> tasks = new ArrayBlockingQueue<>(MAX_PENDING_WRITES);
-        final Thread thread;
-
-        Writer(String name) {
-            thread = new Thread(this, name);
-            thread.setDaemon(true);
-        }
-
-        @Override
-        public void run() {
-            while (!closed) {
-                try {
-                    Runnable next = tasks.poll(1, TimeUnit.SECONDS);
-                    if (next != null) {
-                        next.run();
-                    }
-                } catch (InterruptedException e) {
-                    break;
-                } catch (RuntimeException e) {
-                    LOG.atError().setMessage("a message was not written").setCause(e).log();
-                }
-            }
-        }
     }
 
     private final class DiscoveryService
@@ -126,11 +102,13 @@
         }
     }
 
-    /** Throws IOException if it cannot listen. */
+    /**
+     * Starts the writer threads and listens.
+     *
+     * @throws IOException if it can't listen
+     */
     public void start() throws IOException {
-        for (Writer writer : writers) {
-            writer.thread.start();
-        }
+        writers.start();
         server.start();
         LOG.atInfo()
                 .setMessage("xds is served")
@@ -139,6 +117,7 @@
                 .log();
     }
 
+    /** The port that it listens on. */
     public int port() {
         return server.getPort();
     }
@@ -152,27 +131,12 @@
         return core;
     }
 
-    /** Proxies on one table hold the same lines: each is put into words once. */
-    static Resource encodedResource(
-            RoutingResource resource, boolean incremental, ResourceNaming naming) {
-        return resource.encoded(
-                incremental ? 0 : 1,
-                resourceToEncode ->
-                        Resource.newBuilder()
-                                .setName(ResourceEncoder.resourceName(resourceToEncode.name()))
-                                .setVersion(resourceToEncode.version())
-                                .setResource(
-                                        ResourceEncoder.encode(
-                                                resourceToEncode, incremental, naming))
-                                .build());
-    }
-
     @Override
     public void send(ResourceUpdate update, ResourceNaming naming) {
         DiscoveryStream<?, ?> stream = (DiscoveryStream<?, ?>) update.stream.transport;
         boolean accepted = submitWrite(update.stream.proxyId, () -> stream.enqueue(update, naming));
-        if (!accepted) { // it cannot be left out: the proxy dials again and is laid from what it
-            // holds
+        if (!accepted) {
+            // Later updates build on this one: the proxy has to connect again, from what it holds.
             LOG.atWarn()
                     .setMessage("too many messages wait to be written")
                     .addKeyValue("proxy", update.stream.proxyId)
@@ -204,10 +168,7 @@
         return naming;
     }
 
-    /**
-     * This governor as a proxy is told: with the epoch under which it writes, where governors share
-     * the fleet.
-     */
+    /** How proxies are told of this governor: with its epoch where governors share the fleet. */
     String identifier(long epoch) {
         return epoch == 0 ? identifier : identifier + "#" + epoch;
     }
@@ -215,32 +176,29 @@
     void streamRejected(ProxyStream proxyStream, Status status) {
         LOG.atWarn()
                 .setMessage("a stream is refused")
-                .addKeyValue("proxy", proxyStream == null ? -1 : proxyStream.proxyId)
+                .addKeyValue(
+                        "proxy", proxyStream == null ? UNIDENTIFIED_PROXY : proxyStream.proxyId)
                 .addKeyValue("code", status.getCode())
                 .addKeyValue("why", status.getDescription())
                 .setCause(status.getCause())
                 .log();
     }
 
-    /** False if too much waits to be written. */
+    /** Queues a task for the proxy's writer thread; false if too many are waiting. */
     boolean submitWrite(int proxyId, Runnable task) {
-        return writers[proxyId % WRITER_THREADS].tasks.offer(task);
+        return writers.submit(proxyId, task);
     }
 
-    /** Asks the core until it takes it. This holds up the transport's thread, never the core. */
-    void retryUntilAccepted(BooleanSupplier notification) {
-        while (!notification.getAsBoolean() && !closed) {
-            LockSupport.parkNanos(1_000_000);
-        }
+    /** Waits until the core has accepted a notification. */
+    void awaitAccepted(BooleanSupplier notification) {
+        notifier.awaitAccepted(notification);
     }
 
     @Override
     public void close() {
-        closed = true;
+        notifier.close();
+        writers.close();
         server.shutdownNow();
-        for (Writer writer : writers) {
-            writer.thread.interrupt();
-        }
         acceptGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         workerGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- /dev/null
+++ b/src/test/java/sprucelanding/front/xds/DeltaClient.java
@@ -0,0 +1,89 @@
+package sprucelanding.front.xds;
+
+import io.envoyproxy.envoy.service.discovery.v3.AggregatedDiscoveryServiceGrpc;
+import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryRequest;
+import io.envoyproxy.envoy.service.discovery.v3.DeltaDiscoveryResponse;
+import io.envoyproxy.envoy.service.discovery.v3.Resource;
+import io.grpc.ManagedChannel;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import sprucelanding.testing.Recording;
+import sprucelanding.testing.ScriptedCore;
+
+/** A client of the incremental form. */
+final class DeltaClient extends RecordedClient<DeltaDiscoveryRequest, DeltaDiscoveryResponse> {
+    final Map<String, Map<String, String>> held = new LinkedHashMap<>();
+
+    DeltaClient(String name, ManagedChannel channel, Recording recording, ScriptedCore core) {
+        super(name, recording, core);
+        out = AggregatedDiscoveryServiceGrpc.newStub(channel).deltaAggregatedResources(this);
+    }
+
+    DeltaDiscoveryRequest.Builder about(String type) {
+        return DeltaDiscoveryRequest.newBuilder()
+                .setNode(RecordedDiscoveryTest.node(name))
+                .setTypeUrl(type);
+    }
+
+    void asks(String type, Map<String, String> versions, String... names) {
+        says(
+                "subscribes to " + List.of(names) + " of " + type + ", holds " + versions,
+                about(type)
+                        .addAllResourceNamesSubscribe(List.of(names))
+                        .putAllInitialResourceVersions(versions)
+                        .build());
+    }
+
+    void asksForAll(Map<String, Map<String, String>> versionsByType) {
+        asks(
+                RecordedDiscoveryTest.CLUSTERS,
+                versionsByType.getOrDefault(RecordedDiscoveryTest.CLUSTERS, Map.of()),
+                "*");
+        asks(
+                RecordedDiscoveryTest.ROUTES,
+                versionsByType.getOrDefault(RecordedDiscoveryTest.ROUTES, Map.of()),
+                "txns");
+        asks(
+                RecordedDiscoveryTest.ENDPOINTS,
+                versionsByType.getOrDefault(RecordedDiscoveryTest.ENDPOINTS, Map.of()),
+                "t0",
+                "t1",
+                "t2");
+        asks(
+                RecordedDiscoveryTest.LINES,
+                versionsByType.getOrDefault(RecordedDiscoveryTest.LINES, Map.of()),
+                RecordedDiscoveryTest.COLLECTION + "t0/*",
+                RecordedDiscoveryTest.COLLECTION + "t1/*",
+                RecordedDiscoveryTest.COLLECTION + "t2/*");
+    }
+
+    @Override
+    void answers(DeltaDiscoveryResponse response, String error) {
+        DeltaDiscoveryRequest.Builder request =
+                DeltaDiscoveryRequest.newBuilder()
+                        .setTypeUrl(response.getTypeUrl())
+                        .setResponseNonce(response.getNonce());
+        if (error != null) {
+            request.setErrorDetail(com.google.rpc.Status.newBuilder().setCode(3).setMessage(error));
+        } else {
+            Map<String, String> names =
+                    held.computeIfAbsent(response.getTypeUrl(), x -> new LinkedHashMap<>());
+            for (Resource resource : response.getResourcesList()) {
+                names.put(resource.getName(), resource.getVersion());
+            }
+            response.getRemovedResourcesList().forEach(names::remove);
+        }
+        out.onNext(request.build());
+    }
+
+    @Override
+    String nonce(DeltaDiscoveryResponse response) {
+        return response.getNonce();
+    }
+
+    @Override
+    String type(DeltaDiscoveryResponse response) {
+        return response.getTypeUrl();
+    }
+}
--- /dev/null
+++ b/src/test/java/sprucelanding/front/xds/StateClient.java
@@ -0,0 +1,56 @@
+package sprucelanding.front.xds;
+
+import io.envoyproxy.envoy.service.discovery.v3.AggregatedDiscoveryServiceGrpc;
+import io.envoyproxy.envoy.service.discovery.v3.DiscoveryRequest;
+import io.envoyproxy.envoy.service.discovery.v3.DiscoveryResponse;
+import io.grpc.ManagedChannel;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import sprucelanding.testing.Recording;
+import sprucelanding.testing.ScriptedCore;
+
+/** A client of the state-of-the-world form. */
+final class StateClient extends RecordedClient<DiscoveryRequest, DiscoveryResponse> {
+    private final Map<String, List<String>> names = new LinkedHashMap<>();
+
+    StateClient(String name, ManagedChannel channel, Recording recording, ScriptedCore core) {
+        super(name, recording, core);
+        out = AggregatedDiscoveryServiceGrpc.newStub(channel).streamAggregatedResources(this);
+    }
+
+    void asks(String type, String... wanted) {
+        names.put(type, List.of(wanted));
+        says(
+                "wants " + List.of(wanted) + " of " + type,
+                DiscoveryRequest.newBuilder()
+                        .setNode(RecordedDiscoveryTest.node(name))
+                        .setTypeUrl(type)
+                        .addAllResourceNames(List.of(wanted))
+                        .build());
+    }
+
+    @Override
+    void answers(DiscoveryResponse response, String error) {
+        DiscoveryRequest.Builder request =
+                DiscoveryRequest.newBuilder()
+                        .setTypeUrl(response.getTypeUrl())
+                        .setVersionInfo(error == null ? response.getVersionInfo() : "")
+                        .addAllResourceNames(names.getOrDefault(response.getTypeUrl(), List.of()))
+                        .setResponseNonce(response.getNonce());
+        if (error != null) {
+            request.setErrorDetail(com.google.rpc.Status.newBuilder().setCode(3).setMessage(error));
+        }
+        out.onNext(request.build());
+    }
+
+    @Override
+    String nonce(DiscoveryResponse response) {
+        return response.getNonce();
+    }
+
+    @Override
+    String type(DiscoveryResponse response) {
+        return response.getTypeUrl();
+    }
+}
--- a/src/test/java/sprucelanding/front/xds/XdsFrontTest.java
+++ b/src/test/java/sprucelanding/front/xds/XdsFrontTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.envoyproxy.envoy.config.core.v3.HealthStatus;
+import io.envoyproxy.envoy.config.endpoint.v3.ClusterLoadAssignment;
 import io.envoyproxy.envoy.config.endpoint.v3.ClusterStats;
 import io.envoyproxy.envoy.config.endpoint.v3.LbEndpoint;
 import io.envoyproxy.envoy.service.discovery.v3.AggregatedDiscoveryServiceGrpc;
@@ -23,8 +24,6 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -33,7 +32,7 @@
 import sprucelanding.control.discovery.ListedEndpoint;
 import sprucelanding.testing.ScenarioRig;
 
-/** Stories of peers, good and bad, over real sockets. */
+/** Correct and faulty xDS clients over real sockets. */
 @Timeout(60)
 class XdsFrontTest {
     private ScenarioRig rig;
@@ -112,23 +111,7 @@
                             ResourceEncoder.RDS_TYPE_URL,
                             ResourceEncoder.EDS_TYPE_URL,
                             ResourceEncoder.LEDS_TYPE_URL)) {
-                DeltaDiscoveryRequest.Builder request =
-                        resumed.request(type)
-                                .addResourceNamesSubscribe(
-                                        switch (type) {
-                                            case ResourceEncoder.CDS_TYPE_URL -> "*";
-                                            case ResourceEncoder.RDS_TYPE_URL ->
-                                                    ResourceEncoder.ROUTE_CONFIG_NAME;
-                                            case ResourceEncoder.EDS_TYPE_URL -> "t0";
-                                            default -> ResourceEncoder.endpointCollection(0);
-                                        });
-                heldResources.stream()
-                        .filter(response -> response.getResource().getTypeUrl().equals(type))
-                        .forEach(
-                                response ->
-                                        request.putInitialResourceVersions(
-                                                response.getName(), response.getVersion()));
-                resumed.requests.onNext(request.build());
+                resumed.requests.onNext(resumption(resumed.request(type), heldResources));
             }
             DeltaDiscoveryResponse next = awaitRemoval(resumed, 1);
             assertEquals(1, next.getRemovedResourcesCount());
@@ -139,6 +122,24 @@
         }
     }
 
+    private static DeltaDiscoveryRequest resumption(
+            DeltaDiscoveryRequest.Builder request, List<Resource> heldResources) {
+        String type = request.getTypeUrl();
+        request.addResourceNamesSubscribe(
+                switch (type) {
+                    case ResourceEncoder.CDS_TYPE_URL -> "*";
+                    case ResourceEncoder.RDS_TYPE_URL -> ResourceEncoder.ROUTE_CONFIG_NAME;
+                    case ResourceEncoder.EDS_TYPE_URL -> "t0";
+                    default -> ResourceEncoder.endpointCollection(0);
+                });
+        for (Resource held : heldResources) {
+            if (held.getResource().getTypeUrl().equals(type)) {
+                request.putInitialResourceVersions(held.getName(), held.getVersion());
+            }
+        }
+        return request.build();
+    }
+
     @Test
     void rejectedRemovalIsNotResentAndOtherProxiesAreServed() throws Exception {
         try (ScenarioRig.XdsTestClient bad = rig.new XdsTestClient("bad");
@@ -229,96 +230,61 @@
 
     @Test
     void stateOfTheWorldStreamIgnoresStaleNoncesAndCarriesWholeTable() throws Exception {
-        BlockingQueue<DiscoveryResponse> responses = new LinkedBlockingQueue<>();
+        ResponseQueue<DiscoveryResponse> responses = new ResponseQueue<>();
         try (ScenarioRig.XdsTestClient carrier = rig.new XdsTestClient("carrier")) {
             StreamObserver<DiscoveryRequest> out =
                     AggregatedDiscoveryServiceGrpc.newStub(carrier.channel)
-                            .streamAggregatedResources(
-                                    new StreamObserver<>() {
-                                        @Override
-                                        public void onNext(DiscoveryResponse response) {
-                                            responses.add(response);
-                                        }
-
-                                        @Override
-                                        public void onError(Throwable error) {}
-
-                                        @Override
-                                        public void onCompleted() {}
-                                    });
-            DiscoveryRequest.Builder request =
-                    DiscoveryRequest.newBuilder().setNode(carrier.node.toBuilder().setId("whole"));
-            out.onNext(request.clone().setTypeUrl(ResourceEncoder.CDS_TYPE_URL).build());
+                            .streamAggregatedResources(responses);
+            out.onNext(request(carrier, ResourceEncoder.CDS_TYPE_URL).build());
             out.onNext(
-                    request.clone()
-                            .setTypeUrl(ResourceEncoder.RDS_TYPE_URL)
+                    request(carrier, ResourceEncoder.RDS_TYPE_URL)
                             .addResourceNames(ResourceEncoder.ROUTE_CONFIG_NAME)
                             .build());
             DiscoveryResponse cds = responses.poll(10, TimeUnit.SECONDS);
             assertEquals(ResourceEncoder.CDS_TYPE_URL, cds.getTypeUrl());
             out.onNext(
-                    request.clone()
-                            .setTypeUrl(ResourceEncoder.CDS_TYPE_URL)
+                    request(carrier, ResourceEncoder.CDS_TYPE_URL)
                             .setVersionInfo("77")
                             .setResponseNonce("77")
                             .build());
             out.onNext(
-                    request.clone()
-                            .setTypeUrl(ResourceEncoder.EDS_TYPE_URL)
-                            .addResourceNames("t0")
-                            .build());
+                    request(carrier, ResourceEncoder.EDS_TYPE_URL).addResourceNames("t0").build());
             assertNull(
                     responses.poll(700, TimeUnit.MILLISECONDS),
                     "a stale nonce acknowledges nothing");
-            out.onNext(
-                    request.clone()
-                            .setTypeUrl(ResourceEncoder.CDS_TYPE_URL)
-                            .setVersionInfo(cds.getVersionInfo())
-                            .setResponseNonce(cds.getNonce())
-                            .build());
+            out.onNext(acknowledgement(carrier, cds).build());
             DiscoveryResponse eds = responses.poll(10, TimeUnit.SECONDS);
             assertEquals(ResourceEncoder.EDS_TYPE_URL, eds.getTypeUrl());
-            assertEquals(
-                    4,
-                    eds.getResources(0)
-                            .unpack(
-                                    io.envoyproxy.envoy.config.endpoint.v3.ClusterLoadAssignment
-                                            .class)
-                            .getEndpoints(0)
-                            .getLbEndpointsCount());
-            out.onNext(
-                    request.clone()
-                            .setTypeUrl(ResourceEncoder.EDS_TYPE_URL)
-                            .setVersionInfo(eds.getVersionInfo())
-                            .setResponseNonce(eds.getNonce())
-                            .addResourceNames("t0")
-                            .build());
+            ClusterLoadAssignment table = eds.getResources(0).unpack(ClusterLoadAssignment.class);
+            assertEquals(4, table.getEndpoints(0).getLbEndpointsCount());
+            out.onNext(acknowledgement(carrier, eds).addResourceNames("t0").build());
             assertEquals(
                     ResourceEncoder.RDS_TYPE_URL,
                     responses.poll(10, TimeUnit.SECONDS).getTypeUrl());
         }
     }
 
+    private static DiscoveryRequest.Builder request(
+            ScenarioRig.XdsTestClient carrier, String typeUrl) {
+        return DiscoveryRequest.newBuilder()
+                .setNode(carrier.node.toBuilder().setId("whole"))
+                .setTypeUrl(typeUrl);
+    }
+
+    private static DiscoveryRequest.Builder acknowledgement(
+            ScenarioRig.XdsTestClient carrier, DiscoveryResponse response) {
+        return request(carrier, response.getTypeUrl())
+                .setVersionInfo(response.getVersionInfo())
+                .setResponseNonce(response.getNonce());
+    }
+
     @Test
     void loadReportsAreRequestedAndAbsurdOnesAreHarmless() throws Exception {
-        BlockingQueue<LoadStatsResponse> responses = new LinkedBlockingQueue<>();
+        ResponseQueue<LoadStatsResponse> responses = new ResponseQueue<>();
         try (ScenarioRig.XdsTestClient peer = rig.new XdsTestClient("p")) {
             peer.acceptAll();
             StreamObserver<LoadStatsRequest> out =
-                    LoadReportingServiceGrpc.newStub(peer.channel)
-                            .streamLoadStats(
-                                    new StreamObserver<>() {
-                                        @Override
-                                        public void onNext(LoadStatsResponse response) {
-                                            responses.add(response);
-                                        }
-
-                                        @Override
-                                        public void onError(Throwable error) {}
-
-                                        @Override
-                                        public void onCompleted() {}
-                                    });
+                    LoadReportingServiceGrpc.newStub(peer.channel).streamLoadStats(responses);
             out.onNext(LoadStatsRequest.newBuilder().setNode(peer.node).build());
             LoadStatsResponse response = responses.poll(10, TimeUnit.SECONDS);
             assertTrue(response.getReportEndpointGranularity());
