--- a/src/main/java/sprucelanding/front/netconf/Device.java
+++ b/src/main/java/sprucelanding/front/netconf/Device.java
@@ -1,9 +1,9 @@
 package sprucelanding.front.netconf;
 
 import java.io.IOException;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.spi.LoggingEventBuilder;
@@ -12,85 +12,89 @@
 import sprucelanding.control.delivery.ResourceType;
 import sprucelanding.control.delivery.ResourceUpdate;
 import sprucelanding.control.edits.DeviceEditSession;
-import sprucelanding.control.loadreport.LoadReport;
+import sprucelanding.control.edits.DeviceEditSession.Operation;
 import sprucelanding.front.xml.NetconfFraming;
 import sprucelanding.front.xml.XmlElement;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.runtime.governor.ResourceNaming;
 
-/** One device, over all its sessions. All calls come on the front's loop. */
+/**
+ * One device over all its sessions: decodes what it sends for its {@link DeviceEditSession}, which
+ * decides on the operations, and sends these. All calls come on the front's event loop.
+ */
 final class Device implements DeviceEditSession.Actions {
-    /** A session's way out; closes it if it cannot take the bytes. */
-    interface Transport {
-        void write(byte[] bytes);
+    private static final Logger LOG = LoggerFactory.getLogger(Device.class);
 
-        void close(String reason);
-    }
+    /** Reads after the begin of a session; the last one comes after the longest trial. */
+    private static final int REREADS_PER_SESSION = 5;
 
-    private static final Logger LOG = LoggerFactory.getLogger(Device.class);
-    private static final int REREADS_PER_SESSION =
-            5; // reads after a session's begin; the last one comes after the longest trial
     private final NetconfFront front;
     private final ResourceNaming naming;
-    final String name;
-    final int proxyId;
-    private final DeviceEditSession transaction;
-    private ProxyStream proxyStream;
-    private Transport transport;
+    private final String name;
+    private final int proxyId;
+    private final DeviceEditSession editSession;
+    private final PendingOperations pendingOperations = new PendingOperations();
+
+    /** The session's; null while there is none. */
+    private DeviceTransport transport;
+
     private NetconfFraming framing;
+    private ProxyStream proxyStream;
+    private DeviceEditSession.DeviceCapabilities capabilities;
     private boolean helloReceived;
+
+    /** Whether the core knows of the session: once the device's state was read. */
     private boolean joined;
-    private DeviceEditSession.DeviceCapabilities abilities;
+
     private String zone = "";
     private double expectedRequestsPerSecond;
-    private long lastMessageId;
     private long confirmedCommitId;
-    private DeviceEditSession.Operation pendingOperation;
-    private long pendingMessageId = -1;
-    private EventLoop.Timer replyTimer;
     private EventLoop.Timer wakeTimer;
-    private final Map<Long, DeviceEditSession.Operation> operationsByMessageId = new HashMap<>();
 
     Device(
             NetconfFront front,
             ResourceNaming naming,
             String name,
             int proxyId,
-            DeviceEditSession transaction) {
+            DeviceEditSession editSession) {
         this.front = front;
         this.naming = naming;
         this.name = name;
         this.proxyId = proxyId;
-        this.transaction = transaction;
+        this.editSession = editSession;
     }
 
-    /** A session came about: both say hello. */
-    void onSessionOpened(Transport transport) {
-        if (this.transport != null) {
-            this.transport.close("the device dialled anew");
-            onSessionLost(this.transport);
+    int proxyId() {
+        return proxyId;
+    }
+
+    /** Begins a session, in place of one that is still open. */
+    void onSessionOpened(DeviceTransport newTransport) {
+        if (transport != null) {
+            transport.close("the device dialled anew");
+            onSessionLost(transport);
         }
-        this.transport = transport;
+        transport = newTransport;
         helloReceived = false;
         joined = false;
-        operationsByMessageId.clear();
+        pendingOperations.clear();
         framing = new NetconfFraming(front.maxMessageBytes(), this::onMessage);
         proxyStream = new ProxyStream(proxyId, ProxyStream.UpdateMode.EDITS, this);
-        if (front.sharesFleet()) { // nothing is written before the core says that it may, not even
-            // what
-            // an earlier session left undone
+        if (front.sharesFleet()) {
+            // Nothing is written before the core allows it, not even what an earlier session began.
             proxyStream.leaseWithdrawn();
         }
         transport.write(framing.frame(OperationEncoder.hello()));
     }
 
-    void onSessionLost(Transport source) {
+    /** Ends a session; one that was replaced already is ignored. */
+    void onSessionLost(DeviceTransport source) {
         if (source != transport) {
             return;
         }
         transport = null;
-        cancelPendingOperation();
-        transaction.sessionLost();
+        pendingOperations.cancel();
+        editSession.sessionLost();
         front.editEnded(proxyId);
         if (joined) {
             joined = false;
@@ -99,94 +103,82 @@
         }
     }
 
-    void onBytes(Transport source, byte[] bytes) {
+    void onBytes(DeviceTransport source, byte[] bytes) {
         if (source != transport) {
             return;
         }
         try {
             framing.onBytes(bytes, 0, bytes.length);
         } catch (IOException e) {
-            endSession("its framing: " + e.getMessage());
-        }
-    }
-
-    private void endSession(String reason) {
-        Transport closingTransport = transport;
-        if (closingTransport != null) {
-            log("a session is ended").addKeyValue("why", reason).log();
-            closingTransport.close(reason);
-            onSessionLost(closingTransport);
+            closeSession("its framing: " + e.getMessage());
         }
     }
 
-    private LoggingEventBuilder log(String text) {
-        return LOG.atInfo().setMessage(text).addKeyValue("device", name);
-    }
-
     private void onMessage(byte[] bytes) {
         XmlElement root;
         try {
             root = XmlElement.parse(bytes);
         } catch (IOException e) {
-            endSession(e.getMessage());
+            closeSession(e.getMessage());
             return;
         }
         switch (root.name) {
             case "hello" -> onHello(root);
             case "rpc-reply" -> onReply(root);
             case "notification" -> onNotification(root);
-            default -> endSession("a <" + root.name + "> where a reply was expected");
+            default -> closeSession("a <" + root.name + "> where a reply was expected");
         }
     }
 
+    /** Capabilities exchange (RFC 6241, section 8.1). */
     private void onHello(XmlElement root) {
-        XmlElement capabilities = root.child("capabilities");
-        if (helloReceived || capabilities == null) {
-            endSession("a hello that is none, or a second one");
+        XmlElement offeredElement = root.child("capabilities");
+        if (helloReceived || offeredElement == null) {
+            closeSession("a hello that is none, or a second one");
             return;
         }
         helloReceived = true;
         List<String> offered =
-                capabilities.childrenNamed("capability").stream().map(XmlElement::text).toList();
-        if (!offered.contains(OperationEncoder.BASE_1_0_CAPABILITY)
-                && !offered.contains(OperationEncoder.BASE_1_1_CAPABILITY)) {
-            endSession("no base capability in common");
+                offeredElement.childrenNamed("capability").stream().map(XmlElement::text).toList();
+        boolean knowsChunks = offered.contains(OperationEncoder.BASE_1_1_CAPABILITY);
+        if (!knowsChunks && !offered.contains(OperationEncoder.BASE_1_0_CAPABILITY)) {
+            closeSession("no base capability in common");
             return;
         }
-        if (offered.contains(OperationEncoder.BASE_1_1_CAPABILITY)) {
+        if (knowsChunks) {
             framing.useChunkedFraming();
         }
-        abilities = OperationEncoder.abilities(offered);
-        if (!abilities.candidate() && !abilities.writableRunning()) {
-            endSession("neither :candidate nor :writable-running");
+        capabilities = OperationEncoder.capabilities(offered);
+        if (!capabilities.candidate() && !capabilities.writableRunning()) {
+            closeSession("neither :candidate nor :writable-running");
             return;
         }
-        transaction.setTime(EventLoop.nowMillis());
-        transaction.sessionOpened(abilities);
+        editSession.setTime(EventLoop.nowMillis());
+        editSession.sessionOpened(capabilities);
         decide();
         scheduleReread(transport, 1);
     }
 
     /**
-     * Guards against a handover in mid-trial: what another governor committed on trial right before
-     * is read as held, and taken back when that trial runs out; not every device tells. So it is
-     * read again until no such trial can run. Costs some reads a session.
+     * Reads the device again until no confirmed commit of another governor can be pending. After a
+     * handover such a commit is read as held and reverted when it times out, and not every device
+     * notifies of that.
      */
-    private void scheduleReread(Transport scheduledOn, int attempt) {
+    private void scheduleReread(DeviceTransport scheduledOn, int attempt) {
         if (attempt > REREADS_PER_SESSION) {
             return;
         }
-        front.loop()
-                .schedule(
-                        front.confirmTimeoutMillis() / (REREADS_PER_SESSION - 1),
-                        () -> {
-                            if (transport == scheduledOn) {
-                                transaction.setTime(EventLoop.nowMillis());
-                                transaction.changedByOthers();
-                                decide();
-                                scheduleReread(scheduledOn, attempt + 1);
-                            }
-                        });
+        double intervalMillis = front.confirmTimeoutMillis() / (REREADS_PER_SESSION - 1);
+        front.loop().schedule(intervalMillis, () -> reread(scheduledOn, attempt));
+    }
+
+    private void reread(DeviceTransport scheduledOn, int attempt) {
+        if (transport == scheduledOn) {
+            editSession.setTime(EventLoop.nowMillis());
+            editSession.changedByOthers();
+            decide();
+            scheduleReread(scheduledOn, attempt + 1);
+        }
     }
 
     private void onReply(XmlElement root) {
@@ -194,174 +186,155 @@
         try {
             messageId = Long.parseLong(root.attributes.getOrDefault("message-id", ""));
         } catch (NumberFormatException e) {
-            endSession("a reply without the message-id of a request");
+            closeSession("a reply without the message-id of a request");
             return;
         }
-        DeviceEditSession.Operation operation = operationsByMessageId.remove(messageId);
-        if (operation == null || messageId != pendingMessageId) {
-            return; // to what was given up
-        }
-        replyTimer.cancel();
-        pendingOperation = null;
-        pendingMessageId = -1;
-        transaction.setTime(EventLoop.nowMillis());
-        XmlElement error = root.child("rpc-error");
-        if (error != null) {
-            boolean lockedByOther = error.text("error-tag").equals("lock-denied");
-            String path = error.text("error-path");
-            transaction.operationFailed(
-                    operation,
-                    lockedByOther,
-                    error.text("error-tag")
-                            + " "
-                            + error.text("error-message")
-                            + (path.isEmpty() ? "" : " at " + path));
-        } else if (operation == DeviceEditSession.Operation.READ) {
-            XmlElement data = root.child("data");
-            XmlElement routing = data == null ? null : data.child("routing");
-            if (routing != null) {
-                zone = routing.text("zone");
-                try {
-                    expectedRequestsPerSecond =
-                            Math.max(
-                                    0,
-                                    Math.min(
-                                            1e6,
-                                            Double.parseDouble(routing.text("txns-per-second"))));
-                } catch (NumberFormatException e) {
-                    expectedRequestsPerSecond = 0;
-                }
-            }
-            transaction.stateRead(
-                    OperationEncoder.heldVersions(routing, naming.requestClassNames()));
-        } else if (root.child("ok") != null) {
-            transaction.operationSucceeded(operation);
-        } else {
-            transaction.operationFailed(operation, false, "neither ok nor an error");
+        Optional<Operation> operation = pendingOperations.complete(messageId);
+        if (operation.isEmpty()) {
+            return; // to an operation that was given up
         }
+        editSession.setTime(EventLoop.nowMillis());
+        onReplyTo(operation.get(), root);
         decide();
     }
 
-    /** RFC 5277: what it met since its last one, or that others have changed it. */
+    private void onReplyTo(Operation operation, XmlElement reply) {
+        Optional<RpcError> error = RpcError.of(reply);
+        if (error.isPresent()) {
+            editSession.operationFailed(
+                    operation, error.get().isLockDenied(), error.get().describe());
+        } else if (operation == Operation.READ) {
+            onStateRead(reply.child("data"));
+        } else if (reply.child("ok") != null) {
+            editSession.operationSucceeded(operation);
+        } else {
+            editSession.operationFailed(operation, false, "neither ok nor an error");
+        }
+    }
+
+    private void onStateRead(XmlElement data) {
+        XmlElement routing = data == null ? null : data.child("routing");
+        if (routing != null) {
+            zone = routing.text("zone");
+            expectedRequestsPerSecond = RoutingConfigReader.expectedRequestsPerSecond(routing);
+        }
+        editSession.stateRead(RoutingConfigReader.versions(routing, naming.requestClassNames()));
+    }
+
+    /** RFC 5277: a load report, or that the configuration was changed. */
     private void onNotification(XmlElement root) {
         if (root.child("netconf-config-change") != null) {
-            transaction.setTime(EventLoop.nowMillis());
-            transaction.changedByOthers(); // by us too, on devices that do not tell: a read more
+            editSession.setTime(EventLoop.nowMillis());
+            // Not every device says by whom. If it was this governor, it costs one read.
+            editSession.changedByOthers();
             decide();
             return;
         }
-        XmlElement loadElement = root.child("met");
-        if (loadElement != null && joined) {
-            LoadReport report = DeviceLoadReports.parse(proxyId, loadElement, naming);
-            if (report != null) {
-                front.notifyCore(core -> core.loadReported(report));
-            }
+        XmlElement load = root.child("met");
+        if (load != null && joined) {
+            DeviceLoadReports.parse(proxyId, load, naming)
+                    .ifPresent(report -> front.notifyCore(core -> core.loadReported(report)));
         }
     }
 
-    /** The core's message: an edit to bring in force. False if it is of a session that is over. */
+    /** Takes an edit from the core; false if it is of a session that is over. */
     boolean submitEdit(ResourceUpdate edit) {
-        transaction.setTime(EventLoop.nowMillis());
+        editSession.setTime(EventLoop.nowMillis());
         if (transport == null || edit.stream != proxyStream) {
             return false;
         }
-        transaction.submit(edit);
+        editSession.submit(edit);
         decide();
         return true;
     }
 
+    /** Sends operations until the next one has to wait, and sets the timer for it. */
     void decide() {
-        transaction.setTime(EventLoop.nowMillis());
-        while (transaction.decide(this)) {
+        editSession.setTime(EventLoop.nowMillis());
+        while (editSession.decide(this)) {
             continue;
         }
         if (wakeTimer != null) {
             wakeTimer.cancel();
         }
-        double dueAt = transaction.nextDecisionAt();
+        double dueAt = editSession.nextDecisionAt();
         wakeTimer = Double.isInfinite(dueAt) ? null : front.loop().scheduleAt(dueAt, this::decide);
     }
 
-    private void cancelPendingOperation() {
-        if (replyTimer != null) {
-            replyTimer.cancel();
-        }
-        pendingOperation = null;
-        pendingMessageId = -1;
-    }
-
     @Override
-    public void perform(
-            DeviceEditSession.Operation operation, ResourceUpdate edit, double timeoutMillis) {
+    public void perform(Operation operation, ResourceUpdate edit, double timeoutMillis) {
         ProxyStream.Lease lease = proxyStream.lease();
-        if ((operation == DeviceEditSession.Operation.EDIT
-                        || operation == DeviceEditSession.Operation.TRY_COMMIT
-                        || operation == DeviceEditSession.Operation.COMMIT)
-                && !lease.isValidAt(EventLoop.nowMillis())) {
-            // A governor that stood still: what it may no longer write is not written. The device
-            // dials anew.
-            log("an edit is not written: the lease has run out")
-                    .addKeyValue("epoch", lease.epoch())
-                    .log();
-            Transport expiredTransport = transport;
-            front.loop()
-                    .schedule(
-                            0,
-                            () -> {
-                                if (transport == expiredTransport) {
-                                    endSession("this governor may no longer write to it");
-                                }
-                            });
+        if (changesRunning(operation) && !lease.isValidAt(EventLoop.nowMillis())) {
+            endSessionWithoutLease(lease);
             return;
         }
-        long messageId = ++lastMessageId;
-        if (operation == DeviceEditSession.Operation.TRY_COMMIT) {
+        long messageId = pendingOperations.begin(operation);
+        if (operation == Operation.TRY_COMMIT) {
             confirmedCommitId = messageId;
         }
-        pendingOperation = operation;
-        pendingMessageId = messageId;
-        operationsByMessageId.put(messageId, operation);
         String rpc;
         try {
-            rpc =
-                    OperationEncoder.rpc(
-                            messageId,
-                            operation,
-                            edit,
-                            abilities,
-                            front.confirmTimeoutMillis(),
-                            front.identifier() + "-" + proxyId + "-" + confirmedCommitId,
-                            lease.epoch() == 0 ? "" : front.identifier() + "#" + lease.epoch(),
-                            naming);
+            RpcRequest request = request(messageId, operation, edit, lease);
+            rpc = OperationEncoder.rpc(request, naming);
         } catch (IllegalStateException e) {
-            pendingOperation = null;
-            front.loop()
-                    .schedule(
-                            0,
-                            () -> {
-                                transaction.operationFailed(operation, false, e.getMessage());
-                                decide();
-                            });
+            front.loop().schedule(0, () -> onNotEncoded(operation, e.getMessage()));
             return;
         }
         byte[] bytes = framing.frame(rpc);
         transport.write(bytes);
-        if (operation == DeviceEditSession.Operation.EDIT) {
+        if (operation == Operation.EDIT) {
             front.editWritten(edit, bytes.length);
         }
-        replyTimer =
-                front.loop()
-                        .schedule(
-                                timeoutMillis,
-                                () -> {
-                                    if (pendingMessageId == messageId) {
-                                        pendingOperation = null;
-                                        pendingMessageId = -1;
-                                        transaction.setTime(EventLoop.nowMillis());
-                                        transaction.operationTimedOut(operation);
-                                        decide();
-                                    }
-                                });
+        pendingOperations.setReplyTimer(
+                front.loop().schedule(timeoutMillis, () -> onTimeout(messageId, operation)));
+    }
+
+    private static boolean changesRunning(Operation operation) {
+        return operation == Operation.EDIT
+                || operation == Operation.TRY_COMMIT
+                || operation == Operation.COMMIT;
+    }
+
+    /** For a governor that was paused: it writes nothing more, and the device connects again. */
+    private void endSessionWithoutLease(ProxyStream.Lease lease) {
+        log("an edit is not written: the lease has run out")
+                .addKeyValue("epoch", lease.epoch())
+                .log();
+        DeviceTransport expiredTransport = transport;
+        front.loop()
+                .schedule(
+                        0,
+                        () -> {
+                            if (transport == expiredTransport) {
+                                closeSession("this governor may no longer write to it");
+                            }
+                        });
+    }
+
+    private RpcRequest request(
+            long messageId, Operation operation, ResourceUpdate edit, ProxyStream.Lease lease) {
+        String identifier = front.identifier();
+        return new RpcRequest(
+                messageId,
+                operation,
+                edit,
+                capabilities,
+                front.confirmTimeoutMillis(),
+                identifier + "-" + proxyId + "-" + confirmedCommitId,
+                lease.epoch() == 0 ? "" : identifier + "#" + lease.epoch());
+    }
+
+    private void onNotEncoded(Operation operation, String reason) {
+        editSession.operationFailed(operation, false, reason);
+        decide();
+    }
+
+    private void onTimeout(long messageId, Operation operation) {
+        if (pendingOperations.expire(messageId)) {
+            editSession.setTime(EventLoop.nowMillis());
+            editSession.operationTimedOut(operation);
+            decide();
+        }
     }
 
     @Override
@@ -381,21 +354,31 @@
         ProxyStream stream = proxyStream;
         if (!joined) {
             joined = true;
-            boolean withoutRoutes = !versions.containsKey(ResourceName.ROUTE);
-            front.notifyCore(
-                    core ->
-                            core.proxyConnected(
-                                    front, stream, zone, expectedRequestsPerSecond, withoutRoutes));
-            for (ResourceType type : ResourceType.values()) {
-                front.notifyCore(core -> core.subscriptionChanged(stream, type, 0, true));
-            }
+            join(stream, versions);
         }
         front.notifyCore(core -> core.allResourcesHeld(stream, versions));
     }
 
+    /** Tells the core of the device, which always holds resources of all types. */
+    private void join(ProxyStream stream, Map<ResourceName, String> versions) {
+        boolean withoutRoutes = !versions.containsKey(ResourceName.ROUTE);
+        front.notifyCore(
+                core ->
+                        core.proxyConnected(
+                                front, stream, zone, expectedRequestsPerSecond, withoutRoutes));
+        for (ResourceType type : ResourceType.values()) {
+            front.notifyCore(core -> core.subscriptionChanged(stream, type, 0, true));
+        }
+    }
+
     @Override
     public void closeSession(String reason) {
-        endSession(reason);
+        DeviceTransport closingTransport = transport;
+        if (closingTransport != null) {
+            log("a session is ended").addKeyValue("why", reason).log();
+            closingTransport.close(reason);
+            onSessionLost(closingTransport);
+        }
     }
 
     @Override
@@ -406,4 +389,8 @@
         }
         event.log();
     }
+
+    private LoggingEventBuilder log(String text) {
+        return LOG.atInfo().setMessage(text).addKeyValue("device", name);
+    }
 }
--- /dev/null
+++ b/src/main/java/sprucelanding/front/netconf/DeviceEditQueue.java
@@ -0,0 +1,69 @@
+package sprucelanding.front.netconf;
+
+import java.util.HashMap;
+import java.util.Map;
+import sprucelanding.control.delivery.ResourceName;
+import sprucelanding.control.delivery.ResourceUpdate;
+import sprucelanding.control.edits.EditScheduler;
+import sprucelanding.runtime.eventloop.EventLoop;
+
+/**
+ * Edits that wait until the scheduler admits their device. Used on the front's event loop, except
+ * for {@link #priorityOf}.
+ */
+final class DeviceEditQueue {
+    private final EventLoop loop;
+    private final EditScheduler scheduler;
+    private final Map<Integer, ResourceUpdate> pendingEditsByProxyId = new HashMap<>();
+
+    DeviceEditQueue(EventLoop loop, EditScheduler scheduler) {
+        this.loop = loop;
+        this.scheduler = scheduler;
+    }
+
+    /**
+     * The priority of an edit; on the core's thread, which alone may look at the stream's state.
+     */
+    static EditScheduler.Priority priorityOf(ResourceUpdate edit) {
+        if (edit.hasRemovals()) {
+            return EditScheduler.Priority.REMOVAL;
+        }
+        return edit.stream.hasAcknowledged(ResourceName.ROUTE)
+                ? EditScheduler.Priority.ORDINARY
+                : EditScheduler.Priority.FIRST;
+    }
+
+    /** Adds an edit, in place of one of the same device that hasn't begun. */
+    void add(ResourceUpdate edit, EditScheduler.Priority priority) {
+        int proxyId = deviceOf(edit).proxyId();
+        pendingEditsByProxyId.put(proxyId, edit);
+        scheduler.setTime(EventLoop.nowMillis());
+        scheduler.request(proxyId, priority);
+        beginAdmitted();
+    }
+
+    /** A device's edit has ended, with whatever outcome: others can be admitted. */
+    void editEnded(int proxyId) {
+        scheduler.setTime(EventLoop.nowMillis());
+        pendingEditsByProxyId.remove(proxyId);
+        scheduler.release(proxyId);
+        beginAdmitted();
+    }
+
+    private void beginAdmitted() {
+        while (scheduler.decide(this::begin)) {
+            continue;
+        }
+    }
+
+    private void begin(int proxyId) {
+        ResourceUpdate edit = pendingEditsByProxyId.remove(proxyId);
+        if (edit == null || !deviceOf(edit).submitEdit(edit)) {
+            loop.schedule(0, () -> editEnded(proxyId));
+        }
+    }
+
+    private static Device deviceOf(ResourceUpdate edit) {
+        return (Device) edit.stream.transport;
+    }
+}
--- a/src/main/java/sprucelanding/front/netconf/DeviceLoadReports.java
+++ b/src/main/java/sprucelanding/front/netconf/DeviceLoadReports.java
@@ -1,48 +1,50 @@
 package sprucelanding.front.netconf;
 
-import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import sprucelanding.control.loadreport.LoadReport;
+import sprucelanding.front.RequestCounter;
 import sprucelanding.front.xml.XmlElement;
 import sprucelanding.runtime.governor.ResourceNaming;
 
-/** A device's notification of what it met, as a report. */
+/** Converts a device's load notifications (docs/sprucelanding-proxy.yang) to load reports. */
 final class DeviceLoadReports {
     private DeviceLoadReports() {}
 
-    /** Null if a number in it is none. */
-    static LoadReport parse(int proxyId, XmlElement loadElement, ResourceNaming naming) {
+    /** The report of a notification; empty if a number in it can't be parsed. */
+    static Optional<LoadReport> parse(int proxyId, XmlElement notification, ResourceNaming naming) {
         try {
-            List<LoadReport.EndpointStats> endpointLoads = new ArrayList<>();
-            for (XmlElement element : loadElement.childrenNamed("replica")) {
-                endpointLoads.add(
-                        new LoadReport.EndpointStats(
-                                Long.parseLong(element.text("id")),
-                                Long.parseLong(element.text("issued")),
-                                Long.parseLong(element.text("settled")),
-                                Long.parseLong(element.text("voided")),
-                                Double.parseDouble(element.text("answer-ms")),
-                                Double.parseDouble(element.text("util")),
-                                Long.parseLong(element.text("told"))));
-            }
-            long[] requestCounts = new long[naming.requestClassNames().size()];
-            for (XmlElement element : loadElement.childrenNamed("came")) {
-                int classIndex = naming.requestClassNames().indexOf(element.text("product"));
-                if (classIndex >= 0) {
-                    requestCounts[classIndex] += Long.parseLong(element.text("txns"));
-                }
-            }
-            List<Long> requestsByClass = new ArrayList<>();
-            for (long count : requestCounts) {
-                requestsByClass.add(count);
-            }
-            return new LoadReport(
-                    proxyId,
-                    Double.parseDouble(loadElement.text("span-ms")),
-                    endpointLoads,
-                    requestsByClass);
+            List<LoadReport.EndpointStats> endpointStats =
+                    notification.childrenNamed("replica").stream()
+                            .map(DeviceLoadReports::parseEndpoint)
+                            .toList();
+            List<Long> requestsByClass = parseRequests(notification, naming.requestClassNames());
+            double spanMillis = Double.parseDouble(notification.text("span-ms"));
+            return Optional.of(new LoadReport(proxyId, spanMillis, endpointStats, requestsByClass));
         } catch (NumberFormatException e) {
-            return null;
+            return Optional.empty();
+        }
+    }
+
+    private static LoadReport.EndpointStats parseEndpoint(XmlElement element) {
+        return new LoadReport.EndpointStats(
+                Long.parseLong(element.text("id")),
+                Long.parseLong(element.text("issued")),
+                Long.parseLong(element.text("settled")),
+                Long.parseLong(element.text("voided")),
+                Double.parseDouble(element.text("answer-ms")),
+                Double.parseDouble(element.text("util")),
+                Long.parseLong(element.text("told")));
+    }
+
+    private static List<Long> parseRequests(XmlElement notification, List<String> classNames) {
+        RequestCounter requests = new RequestCounter(classNames);
+        for (XmlElement element : notification.childrenNamed("came")) {
+            String className = element.text("product");
+            if (requests.isKnown(className)) {
+                requests.add(className, Long.parseLong(element.text("txns")));
+            }
         }
+        return requests.counts();
     }
 }
--- /dev/null
+++ b/src/main/java/sprucelanding/front/netconf/SshTransport.java
@@ -0,0 +1,101 @@
+package sprucelanding.front.netconf;
+
+import java.io.IOException;
+import java.util.ArrayDeque;
+import org.apache.sshd.client.channel.ChannelSubsystem;
+import org.apache.sshd.client.session.ClientSession;
+import org.apache.sshd.common.io.IoInputStream;
+import org.apache.sshd.common.io.IoReadFuture;
+import org.apache.sshd.common.util.buffer.ByteArrayBuffer;
+
+/**
+ * The channel of one NETCONF session. Received bytes go to the front's event loop, the next are
+ * read once it has accepted them; outgoing messages are written one after the other. Writing state
+ * is used on the event loop only, reading happens on the SSH library's threads.
+ */
+final class SshTransport implements DeviceTransport {
+    private static final int READ_BUFFER_BYTES = 32_768;
+    private static final int MAX_PENDING_WRITES = 64;
+
+    private final NetconfFront front;
+    private final String deviceName;
+    private final ClientSession session;
+    private final ChannelSubsystem channel;
+    private final ArrayDeque<byte[]> outgoing = new ArrayDeque<>();
+    private boolean writing;
+
+    SshTransport(
+            NetconfFront front,
+            String deviceName,
+            ClientSession session,
+            ChannelSubsystem channel) {
+        this.front = front;
+        this.deviceName = deviceName;
+        this.session = session;
+        this.channel = channel;
+    }
+
+    /** Announces the session and its end to the device and begins to read. */
+    void start() {
+        session.addCloseFutureListener(future -> executeOnLoop(() -> device().onSessionLost(this)));
+        executeOnLoop(() -> device().onSessionOpened(this));
+        readNext(channel.getAsyncOut(), new ByteArrayBuffer(READ_BUFFER_BYTES));
+    }
+
+    private Device device() {
+        return front.device(deviceName);
+    }
+
+    private void executeOnLoop(Runnable task) {
+        front.awaitAccepted(() -> front.loop().tryExecute(task));
+    }
+
+    private void readNext(IoInputStream in, ByteArrayBuffer buffer) {
+        in.read(buffer).addListener((IoReadFuture future) -> onRead(future, in, buffer));
+    }
+
+    private void onRead(IoReadFuture future, IoInputStream in, ByteArrayBuffer buffer) {
+        if (future.getException() != null) {
+            session.close(true);
+            return;
+        }
+        byte[] bytes = buffer.getCompactData();
+        executeOnLoop(() -> device().onBytes(this, bytes));
+        readNext(in, new ByteArrayBuffer(READ_BUFFER_BYTES));
+    }
+
+    @Override
+    public void write(byte[] bytes) {
+        if (outgoing.size() >= MAX_PENDING_WRITES) {
+            close("the device does not read");
+            return;
+        }
+        outgoing.add(bytes);
+        writeNext();
+    }
+
+    private void writeNext() {
+        if (writing || outgoing.isEmpty()) {
+            return;
+        }
+        writing = true;
+        try {
+            channel.getAsyncIn()
+                    .writeBuffer(new ByteArrayBuffer(outgoing.poll()))
+                    .addListener(future -> front.loop().tryExecute(this::onWritten));
+        } catch (IOException | RuntimeException e) {
+            // the library throws unchecked exceptions of its own on a closing channel
+            close(e.getMessage());
+        }
+    }
+
+    private void onWritten() {
+        writing = false;
+        writeNext();
+    }
+
+    @Override
+    public void close(String reason) {
+        session.close(true);
+    }
+}
--- a/src/test/java/sprucelanding/front/netconf/NetconfFrontTest.java
+++ b/src/test/java/sprucelanding/front/netconf/NetconfFrontTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.grpc.netty.shaded.io.netty.channel.nio.NioEventLoopGroup;
@@ -10,6 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.attribute.FileTime;
 import java.nio.file.attribute.PosixFilePermissions;
 import java.security.KeyPair;
 import java.util.ArrayList;
@@ -26,7 +28,7 @@
 import sprucelanding.simulation.loopback.SimulatedProxy;
 import sprucelanding.testing.ScenarioRig;
 
-/** Stories of devices over SSH on loopback. */
+/** Devices over SSH on loopback: configuration, faults of devices, and keys. */
 @Timeout(90)
 class NetconfFrontTest {
     @TempDir private Path folder;
@@ -78,8 +80,7 @@
             devices.forEach(each -> pinnedKeys.append(each.knownHostLine()).append('\n'));
             Files.writeString(folder.resolve("devices"), pinnedKeys);
             Files.setLastModifiedTime(
-                    folder.resolve("devices"),
-                    java.nio.file.attribute.FileTime.fromMillis(1_000_000 + number));
+                    folder.resolve("devices"), FileTime.fromMillis(1_000_000 + number));
         }
         SimulatedProxy proxy =
                 new SimulatedProxy(
@@ -175,8 +176,7 @@
         await("laid", () -> isConfigured(first));
         KeyPair next = SimulatedDevice.generateKey();
         writeGovernorKey(next);
-        Files.setLastModifiedTime(
-                folder.resolve("key"), java.nio.file.attribute.FileTime.fromMillis(2_000_000));
+        Files.setLastModifiedTime(folder.resolve("key"), FileTime.fromMillis(2_000_000));
         SimulatedDevice second = startDevice(2, next, true);
         await("laid with the new key", () -> isConfigured(second));
         removeEndpoint(0);
@@ -304,10 +304,10 @@
         Path open = folder.resolve("open");
         Files.copy(folder.resolve("key"), open);
         Files.setPosixFilePermissions(open, PosixFilePermissions.fromString("rw-r--r--"));
-        IOException e =
-                org.junit.jupiter.api.Assertions.assertThrows(
+        IOException thrown =
+                assertThrows(
                         IOException.class,
                         () -> new DeviceKeys(open, folder.resolve("devices")).ownKey());
-        assertTrue(e.getMessage().contains("mode 600"), e.getMessage());
+        assertTrue(thrown.getMessage().contains("mode 600"), thrown.getMessage());
     }
 }
--- a/src/test/java/sprucelanding/front/netconf/RecordedOperationsTest.java
+++ b/src/test/java/sprucelanding/front/netconf/RecordedOperationsTest.java
@@ -59,7 +59,7 @@
     private String routing = "";
 
     /** A session's way out. */
-    private final class Session implements Device.Transport {
+    private final class Session implements DeviceTransport {
         @Override
         public void write(byte[] bytes) {
             String text = new String(bytes, StandardCharsets.UTF_8);
