--- a/src/main/java/sprucelanding/front/netconf/SshTransport.java
+++ b/src/main/java/sprucelanding/front/netconf/SshTransport.java
@@ -50,18 +50,18 @@
         front.awaitAccepted(() -> front.loop().tryExecute(task));
     }
 
-    private void readNext(IoInputStream in, ByteArrayBuffer buffer) {
-        in.read(buffer).addListener((IoReadFuture future) -> onRead(future, in, buffer));
+    private void readNext(IoInputStream input, ByteArrayBuffer buffer) {
+        input.read(buffer).addListener((IoReadFuture future) -> onRead(future, input, buffer));
     }
 
-    private void onRead(IoReadFuture future, IoInputStream in, ByteArrayBuffer buffer) {
+    private void onRead(IoReadFuture future, IoInputStream input, ByteArrayBuffer buffer) {
         if (future.getException() != null) {
             session.close(true);
             return;
         }
         byte[] bytes = buffer.getCompactData();
         executeOnLoop(() -> device().onBytes(this, bytes));
-        readNext(in, new ByteArrayBuffer(READ_BUFFER_BYTES));
+        readNext(input, new ByteArrayBuffer(READ_BUFFER_BYTES));
     }
 
     @Override
