--- a/src/test/java/sprucelanding/front/netconf/RecordedOperationsTest.java
+++ b/src/test/java/sprucelanding/front/netconf/RecordedOperationsTest.java
@@ -34,18 +34,18 @@
             "<rpc-error><error-tag>invalid-value</error-tag><error-path>/routing</error-path>"
                     + "<error-message>no</error-message></rpc-error>";
 
-    /** No answer at all: the session breaks instead. */
+    /** Instead of a reply: the session is lost. */
     private static final String BREAKS = "breaks";
 
     private static final Pattern OPERATION =
             Pattern.compile("message-id=\"(\\d+)\"[^>]*><([a-z-]+)");
-    private static final int LARGEST = 65_536;
-    private static final double ANSWERS = 30_000;
-    private static final double CONFIRMS = 120_500;
-    private static final double LOCKS = 30_000;
-    private static final int AT_ONCE = 8;
-    private static final long LOOK_AGAIN_MS = 20;
-    private static final int NUMBER = 1;
+    private static final int MAX_MESSAGE_BYTES = 65_536;
+    private static final double REPLY_TIMEOUT_MILLIS = 30_000;
+    private static final double CONFIRM_TIMEOUT_MILLIS = 120_500;
+    private static final double LOCK_TIMEOUT_MILLIS = 30_000;
+    private static final int MAX_CONCURRENT_EDITS = 8;
+    private static final long RETRY_MILLIS = 20;
+    private static final int PROXY_ID = 1;
 
     private final ArrayDeque<ResourceUpdate> messages = new ArrayDeque<>();
     private final List<String> sent = new ArrayList<>();
@@ -58,7 +58,7 @@
     private boolean chunked;
     private String routing = "";
 
-    /** A session's way out. */
+    /** Records what the device is sent. */
     private final class Session implements DeviceTransport {
         @Override
         public void write(byte[] bytes) {
@@ -73,7 +73,7 @@
         }
     }
 
-    private void opens(String name, long epoch) {
+    private void startFront(String name, long epoch) {
         recording = new Recording(name);
         core = new ScriptedCore(true, epoch, messages::add);
         core.proxyId("device-1");
@@ -85,24 +85,29 @@
                         new InetSocketAddress("127.0.0.1", 0),
                         null,
                         "user",
-                        LARGEST,
-                        new NetconfFront.EditLimits(ANSWERS, CONFIRMS, LOCKS, AT_ONCE));
+                        MAX_MESSAGE_BYTES,
+                        new NetconfFront.EditLimits(
+                                REPLY_TIMEOUT_MILLIS,
+                                CONFIRM_TIMEOUT_MILLIS,
+                                LOCK_TIMEOUT_MILLIS,
+                                MAX_CONCURRENT_EDITS));
         device =
                 new Device(
                         front,
                         core,
                         "device-1",
-                        NUMBER,
-                        new DeviceEditSession(ANSWERS, CONFIRMS, LOCKS));
+                        PROXY_ID,
+                        new DeviceEditSession(
+                                REPLY_TIMEOUT_MILLIS, CONFIRM_TIMEOUT_MILLIS, LOCK_TIMEOUT_MILLIS));
     }
 
     @AfterEach
-    void closes() {
+    void closeFront() {
         front.close();
     }
 
-    /** A new session, with a hello of these capabilities. */
-    private void dials(String... capabilities) {
+    /** Opens a new session with a hello of these capabilities. */
+    private void connect(String... capabilities) {
         session = new Session();
         chunked = false;
         sent.clear();
@@ -118,26 +123,29 @@
                     .append("</capability>");
             chunks |= each.equals("base:1.1");
         }
-        says(hello.append("</capabilities></hello>").toString());
+        send(hello.append("</capabilities></hello>").toString());
         chunked = chunks;
-        works();
+        answerAll();
     }
 
-    private void says(String xml) {
+    private void send(String xml) {
         recording.add("device: " + xml);
         byte[] body = xml.getBytes(StandardCharsets.UTF_8);
         String framed = chunked ? "\n#" + body.length + "\n" + xml + "\n##\n" : xml + "]]>]]>";
         device.onBytes(session, framed.getBytes(StandardCharsets.UTF_8));
     }
 
-    private void broken() {
+    private void breakSession() {
         recording.add("the session breaks");
         device.onSessionLost(session);
         sent.clear();
     }
 
-    /** The device answers what it is asked, as the story says or else with ok, to the last. */
-    private void works() {
+    /**
+     * Answers all operations and edits that are pending, with the replies of the test or else with
+     * ok.
+     */
+    private void answerAll() {
         while (!sent.isEmpty() || !messages.isEmpty()) {
             if (sent.isEmpty()) {
                 boolean taken = device.submitEdit(messages.poll());
@@ -148,11 +156,11 @@
             if (!operation.find()) {
                 throw new AssertionError("no operation");
             }
-            String reply = reply(operation.group(2));
+            String reply = nextReply(operation.group(2));
             if (reply.equals(BREAKS)) {
-                broken();
+                breakSession();
             } else {
-                says(
+                send(
                         "<rpc-reply xmlns=\""
                                 + BASE
                                 + "\" message-id=\""
@@ -164,8 +172,8 @@
         }
     }
 
-    /** The next answer of the story if it is for this operation. */
-    private String reply(String operation) {
+    /** The next reply of the test if it is for this operation. */
+    private String nextReply(String operation) {
         String next = replies.peek();
         if (next != null && next.startsWith(operation + " ")) {
             return replies.poll().substring(operation.length() + 1);
@@ -173,14 +181,14 @@
         return operation.equals("get-config") ? "<data>" + routing + "</data>" : OK;
     }
 
-    private void orders(String title, Consumer<Delivery> orders) {
+    private void applyOrders(String title, Consumer<Delivery> orders) {
         recording.add("orders: " + title);
         core.applyOrders(orders);
-        works();
+        answerAll();
     }
 
-    private void firstOrders() {
-        orders(
+    private void applyFirstOrders() {
+        applyOrders(
                 "tables 0 and 1",
                 d -> {
                     d.setEntry(0, 1, 100);
@@ -190,16 +198,16 @@
                     d.setEntry(1, 4, 7);
                     d.setAdmissionLevel(0, 0, 12.34567, 2);
                     d.setAdmissionLevel(1, 1, 1e6, 1);
-                    d.bind(NUMBER, 0, List.of(0, 2));
-                    d.bind(NUMBER, 1, List.of(1));
+                    d.bind(PROXY_ID, 0, List.of(0, 2));
+                    d.bind(PROXY_ID, 1, List.of(1));
                 });
     }
 
-    private static String table(int number, String... lines) {
+    private static String tableElement(int number, String... lines) {
         return "<table><number>" + number + "</number>" + String.join("", lines) + "</table>";
     }
 
-    private static String line(int replica, int weight, boolean draining) {
+    private static String entryElement(int replica, int weight, boolean draining) {
         return "<line><replica>"
                 + replica
                 + "</replica><weight>"
@@ -209,7 +217,7 @@
                 + "</draining></line>";
     }
 
-    private static String product(String name, int table, String letIn, String retry) {
+    private static String classElement(String name, int table, String letIn, String retry) {
         return "<product><name>"
                 + name
                 + "</name><table>"
@@ -221,43 +229,47 @@
                 + "</retry></product>";
     }
 
-    private static String routing(String... parts) {
+    private static String routingElement(String... parts) {
         return "<routing xmlns=\"urn:sprucelanding:proxy\"><zone>north</zone>"
                 + "<txns-per-second>12.5</txns-per-second>"
                 + String.join("", parts)
                 + "</routing>";
     }
 
-    /** All that the orders above come to. */
-    private static String laid() {
-        return routing(
-                table(0, line(1, 100, false), line(2, 250, false), line(3, 1, false)),
-                table(1, line(2, 1 << 20, false), line(4, 7, false)),
-                product("read", 0, "12.3457", "any"),
-                product("write", 1, "1000000.0000", "unrun"),
-                product("a&amp;b&lt;c&gt;\"d\"", 0, "1000000.0000", "never"));
+    /** The configuration after the first orders. */
+    private static String configuredRouting() {
+        return routingElement(
+                tableElement(
+                        0,
+                        entryElement(1, 100, false),
+                        entryElement(2, 250, false),
+                        entryElement(3, 1, false)),
+                tableElement(1, entryElement(2, 1 << 20, false), entryElement(4, 7, false)),
+                classElement("read", 0, "12.3457", "any"),
+                classElement("write", 1, "1000000.0000", "unrun"),
+                classElement("a&amp;b&lt;c&gt;\"d\"", 0, "1000000.0000", "never"));
     }
 
-    private void changes() {
-        orders("weights", d -> d.setEntry(0, 1, 80));
-        orders("a removal", d -> d.setEntry(0, 2, 0));
-        orders("out everywhere", d -> d.setEjected(3, true));
-        orders("back", d -> d.setEjected(3, false));
-        orders("levels", d -> d.setAdmissionLevel(0, 0, 0, 0));
-        orders(
+    private void applyChanges() {
+        applyOrders("weights", d -> d.setEntry(0, 1, 80));
+        applyOrders("a removal", d -> d.setEntry(0, 2, 0));
+        applyOrders("out everywhere", d -> d.setEjected(3, true));
+        applyOrders("back", d -> d.setEjected(3, false));
+        applyOrders("levels", d -> d.setAdmissionLevel(0, 0, 0, 0));
+        applyOrders(
                 "table 2 in place of 1",
                 d -> {
                     d.setEntry(2, 5, 11);
                     d.setEntry(2, 6, 12);
-                    d.bind(NUMBER, 2, List.of(1));
+                    d.bind(PROXY_ID, 2, List.of(1));
                 });
-        orders("table 1 is cleared", d -> d.clearTable(1));
+        applyOrders("table 1 is cleared", d -> d.clearTable(1));
     }
 
     @Test
-    void aDeviceWithAllCapabilities() {
-        opens("netconf-all-capabilities", 0);
-        dials(
+    void deviceWithAllCapabilitiesIsEditedAsRecorded() {
+        startFront("netconf-all-capabilities", 0);
+        connect(
                 "base:1.0",
                 "base:1.1",
                 "candidate:1.0",
@@ -265,95 +277,98 @@
                 "validate:1.1",
                 "notification:1.0",
                 "interleave:1.0");
-        firstOrders();
-        changes();
+        applyFirstOrders();
+        applyChanges();
         replies.add("validate " + INVALID);
-        orders("a line that is refused", d -> d.setEntry(0, 1, 81));
+        applyOrders("a line that is refused", d -> d.setEntry(0, 1, 81));
         replies.add("edit-config " + INVALID);
-        orders("another that is refused", d -> d.setEntry(0, 1, 82));
+        applyOrders("another that is refused", d -> d.setEntry(0, 1, 82));
         replies.add("commit " + INVALID);
-        orders("a commit that is refused", d -> d.setEntry(0, 1, 83));
-        routing = routing(table(0, line(1, 99, false), line(9, 5, true)), table(7));
-        says(
+        applyOrders("a commit that is refused", d -> d.setEntry(0, 1, 83));
+        routing =
+                routingElement(
+                        tableElement(0, entryElement(1, 99, false), entryElement(9, 5, true)),
+                        tableElement(7));
+        send(
                 "<notification xmlns=\"urn:ietf:params:xml:ns:netconf:notification:1.0\">"
                         + "<eventTime>2020-01-01T00:00:00Z</eventTime><netconf-config-change/>"
                         + "</notification>");
-        works();
+        answerAll();
         recording.check();
     }
 
     @Test
-    void aDeviceThatWritesItsRunningDatastore() {
-        opens("netconf-writable-running", 0);
-        dials("base:1.0", "writable-running:1.0");
-        firstOrders();
-        changes();
+    void deviceWithWritableRunningIsEditedAsRecorded() {
+        startFront("netconf-writable-running", 0);
+        connect("base:1.0", "writable-running:1.0");
+        applyFirstOrders();
+        applyChanges();
         replies.add("edit-config " + INVALID);
-        orders("a line that is refused", d -> d.setEntry(0, 1, 81));
+        applyOrders("a line that is refused", d -> d.setEntry(0, 1, 81));
         recording.check();
     }
 
     @Test
-    void aDeviceWithoutTrialsUnderAnEpoch() {
-        opens("netconf-candidate-epoch", 4_294_967_299L);
-        dials("base:1.1", "candidate:1.0");
-        firstOrders();
-        changes();
+    void deviceWithoutConfirmedCommitIsEditedUnderAnEpochAsRecorded() {
+        startFront("netconf-candidate-epoch", 4_294_967_299L);
+        connect("base:1.1", "candidate:1.0");
+        applyFirstOrders();
+        applyChanges();
         recording.check();
     }
 
     @Test
-    void sessionsThatBreakAtEachOperation() {
+    void sessionsLostDuringEachOperationAreResumedAsRecorded() {
         String[] all = {"base:1.1", "candidate:1.0", "confirmed-commit:1.1", "validate:1.1"};
-        opens("netconf-broken-sessions", 3);
-        dials(all);
+        startFront("netconf-broken-sessions", 3);
+        connect(all);
         for (String operation : List.of("lock", "edit-config", "validate", "unlock")) {
             recording.add("breaks at " + operation);
             replies.add(operation + " " + BREAKS);
-            firstOrders();
+            applyFirstOrders();
             messages.clear();
-            dials(all);
+            connect(all);
         }
         recording.add("breaks between commit and confirmation");
         replies.add("commit " + OK);
         replies.add("commit " + BREAKS);
-        firstOrders();
+        applyFirstOrders();
         messages.clear();
-        routing = laid();
-        dials(all);
-        firstOrders();
+        routing = configuredRouting();
+        connect(all);
+        applyFirstOrders();
         recording.check();
     }
 
     @Test
-    void aLockOfOthersIsTriedAgain() throws Exception {
-        opens("netconf-lock-of-others", 0);
-        dials("base:1.1", "candidate:1.0", "confirmed-commit:1.1");
+    void lockHeldByOthersIsRetriedAsRecorded() throws Exception {
+        startFront("netconf-lock-of-others", 0);
+        connect("base:1.1", "candidate:1.0", "confirmed-commit:1.1");
         replies.add("lock " + LOCKED);
         replies.add("lock " + LOCKED);
         replies.add("lock " + OK);
-        firstOrders();
+        applyFirstOrders();
         while (!replies.isEmpty()) {
-            Thread.sleep(LOOK_AGAIN_MS);
+            Thread.sleep(RETRY_MILLIS);
             device.decide();
-            works();
+            answerAll();
         }
         recording.check();
     }
 
     @Test
-    void hellosThatAreRefused() {
-        opens("netconf-refused", 0);
-        dials("candidate:1.0");
-        dials("base:1.1");
-        dials("base:1.1", "validate:1.1", "confirmed-commit:1.1");
-        dials("base:1.0", "writable-running:1.0");
-        says("<other/>");
-        dials("base:1.0", "writable-running:1.0");
-        says("<rpc-reply xmlns=\"" + BASE + "\"><ok/></rpc-reply>");
-        dials("base:1.1", "writable-running:1.0");
+    void unusableHellosAreRejectedAsRecorded() {
+        startFront("netconf-refused", 0);
+        connect("candidate:1.0");
+        connect("base:1.1");
+        connect("base:1.1", "validate:1.1", "confirmed-commit:1.1");
+        connect("base:1.0", "writable-running:1.0");
+        send("<other/>");
+        connect("base:1.0", "writable-running:1.0");
+        send("<rpc-reply xmlns=\"" + BASE + "\"><ok/></rpc-reply>");
+        connect("base:1.1", "writable-running:1.0");
         chunked = false;
-        says("no chunk");
+        send("no chunk");
         recording.check();
     }
 }
--- a/src/test/java/sprucelanding/front/xds/DeltaClient.java
+++ b/src/test/java/sprucelanding/front/xds/DeltaClient.java
@@ -13,44 +13,44 @@
 
 /** A client of the incremental form. */
 final class DeltaClient extends RecordedClient<DeltaDiscoveryRequest, DeltaDiscoveryResponse> {
-    final Map<String, Map<String, String>> held = new LinkedHashMap<>();
+    final Map<String, Map<String, String>> versionsByType = new LinkedHashMap<>();
 
     DeltaClient(String name, ManagedChannel channel, Recording recording, ScriptedCore core) {
         super(name, recording, core);
         out = AggregatedDiscoveryServiceGrpc.newStub(channel).deltaAggregatedResources(this);
     }
 
-    DeltaDiscoveryRequest.Builder about(String type) {
+    DeltaDiscoveryRequest.Builder request(String type) {
         return DeltaDiscoveryRequest.newBuilder()
                 .setNode(RecordedDiscoveryTest.node(name))
                 .setTypeUrl(type);
     }
 
-    void asks(String type, Map<String, String> versions, String... names) {
-        says(
+    void subscribe(String type, Map<String, String> versions, String... names) {
+        send(
                 "subscribes to " + List.of(names) + " of " + type + ", holds " + versions,
-                about(type)
+                request(type)
                         .addAllResourceNamesSubscribe(List.of(names))
                         .putAllInitialResourceVersions(versions)
                         .build());
     }
 
-    void asksForAll(Map<String, Map<String, String>> versionsByType) {
-        asks(
+    void subscribeToAll(Map<String, Map<String, String>> versionsByType) {
+        subscribe(
                 RecordedDiscoveryTest.CLUSTERS,
                 versionsByType.getOrDefault(RecordedDiscoveryTest.CLUSTERS, Map.of()),
                 "*");
-        asks(
+        subscribe(
                 RecordedDiscoveryTest.ROUTES,
                 versionsByType.getOrDefault(RecordedDiscoveryTest.ROUTES, Map.of()),
                 "txns");
-        asks(
+        subscribe(
                 RecordedDiscoveryTest.ENDPOINTS,
                 versionsByType.getOrDefault(RecordedDiscoveryTest.ENDPOINTS, Map.of()),
                 "t0",
                 "t1",
                 "t2");
-        asks(
+        subscribe(
                 RecordedDiscoveryTest.LINES,
                 versionsByType.getOrDefault(RecordedDiscoveryTest.LINES, Map.of()),
                 RecordedDiscoveryTest.COLLECTION + "t0/*",
@@ -59,7 +59,7 @@
     }
 
     @Override
-    void answers(DeltaDiscoveryResponse response, String error) {
+    void sendAnswer(DeltaDiscoveryResponse response, String error) {
         DeltaDiscoveryRequest.Builder request =
                 DeltaDiscoveryRequest.newBuilder()
                         .setTypeUrl(response.getTypeUrl())
@@ -68,7 +68,8 @@
             request.setErrorDetail(com.google.rpc.Status.newBuilder().setCode(3).setMessage(error));
         } else {
             Map<String, String> names =
-                    held.computeIfAbsent(response.getTypeUrl(), x -> new LinkedHashMap<>());
+                    versionsByType.computeIfAbsent(
+                            response.getTypeUrl(), x -> new LinkedHashMap<>());
             for (Resource resource : response.getResourcesList()) {
                 names.put(resource.getName(), resource.getVersion());
             }
--- a/src/test/java/sprucelanding/front/xds/RecordedClient.java
+++ b/src/test/java/sprucelanding/front/xds/RecordedClient.java
@@ -33,8 +33,8 @@
     final String name;
     private final Recording recording;
     private final ScriptedCore core;
-    private final BlockingQueue<R> heard = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Status> ended = new LinkedBlockingQueue<>();
+    private final BlockingQueue<R> responses = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Status> endStatus = new LinkedBlockingQueue<>();
     private final int sentBefore;
     private int responsesSeen;
     StreamObserver<Q> out;
@@ -46,21 +46,21 @@
         this.sentBefore = name.isEmpty() ? 0 : core.sentCount(name);
     }
 
-    abstract void answers(R response, String error);
+    abstract void sendAnswer(R response, String error);
 
     abstract String nonce(R response);
 
     abstract String type(R response);
 
-    void says(String what, Q request) {
+    void send(String what, Q request) {
         recording.add(name + " says: " + what);
         out.onNext(request);
     }
 
-    R hears() throws Exception {
-        R response = heard.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    R awaitResponse() throws Exception {
+        R response = responses.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (response == null) {
-            throw new AssertionError("no response; ended: " + ended.poll());
+            throw new AssertionError("no response; ended: " + endStatus.poll());
         }
         responsesSeen++;
         recording.add(name + " hears", response.toByteArray());
@@ -69,41 +69,41 @@
     }
 
     /** Accepts all that comes, until nothing more is under way. */
-    void settles() throws Exception {
+    void acceptAll() throws Exception {
         while (responsesSeen < core.sentCount(name) - sentBefore) {
-            answered(hears(), null);
+            answer(awaitResponse(), null);
         }
         recording.add(name + " is settled");
     }
 
-    void answered(R response, String error) throws Exception {
+    void answer(R response, String error) throws Exception {
         recording.add(
                 name
                         + (error == null ? " accepts " : " refuses ")
                         + nonce(response)
                         + " of "
                         + type(response));
-        answers(response, error);
+        sendAnswer(response, error);
         core.awaitAnswer(name, nonce(response));
     }
 
-    void endsWith() throws Exception {
-        Status status = ended.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    void awaitEnd() throws Exception {
+        Status status = endStatus.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         recording.add(name + " is ended: " + status.getCode() + " " + status.getDescription());
     }
 
     @Override
     public void onNext(R response) {
-        heard.add(response);
+        responses.add(response);
     }
 
     @Override
     public void onError(Throwable error) {
-        ended.add(Status.fromThrowable(error));
+        endStatus.add(Status.fromThrowable(error));
     }
 
     @Override
     public void onCompleted() {
-        ended.add(Status.OK);
+        endStatus.add(Status.OK);
     }
 }
--- a/src/test/java/sprucelanding/front/xds/RecordedDiscoveryTest.java
+++ b/src/test/java/sprucelanding/front/xds/RecordedDiscoveryTest.java
@@ -37,7 +37,7 @@
     private ManagedChannel channel;
     private int barriers;
 
-    private void opens(String name, boolean byRate, long epoch) throws Exception {
+    private void startFront(String name, boolean byRate, long epoch) throws Exception {
         recording = new Recording(name);
         core = new ScriptedCore(byRate, epoch, message -> front.send(message, core));
         front =
@@ -48,7 +48,7 @@
     }
 
     @AfterEach
-    void closes() {
+    void closeFront() {
         channel.shutdownNow();
         front.close();
     }
@@ -61,8 +61,8 @@
     }
 
     /** Tables 0 and 1 as they are at first. */
-    private void firstOrders(String... proxies) {
-        orders(
+    private void applyFirstOrders(String... proxies) {
+        applyOrders(
                 "tables 0 and 1",
                 d -> {
                     d.setEntry(0, 1, 100);
@@ -76,7 +76,7 @@
                 });
         for (String proxy : proxies) {
             int number = core.proxyId(proxy);
-            orders(
+            applyOrders(
                     "binds " + proxy,
                     d -> {
                         d.bind(number, 0, List.of(0));
@@ -93,33 +93,33 @@
         return new StateClient(name, channel, recording, core);
     }
 
-    private void orders(String title, Consumer<Delivery> orders) {
+    private void applyOrders(String title, Consumer<Delivery> orders) {
         recording.add("orders: " + title);
         core.applyOrders(orders);
     }
 
-    private void deltaStory(String name, boolean byRate, long epoch) throws Exception {
-        opens(name, byRate, epoch);
+    private void runIncrementalStream(String name, boolean byRate, long epoch) throws Exception {
+        startFront(name, byRate, epoch);
         DeltaClient client = deltaClient("proxy-1");
-        subscribes(client);
-        firstOrders("proxy-1");
-        client.settles();
-        changesEntries(client);
-        changesLevels(client);
-        replacesTable(client);
-        refusesEntries(client);
-        changesSubscriptions(client);
+        subscribe(client);
+        applyFirstOrders("proxy-1");
+        client.acceptAll();
+        changeEntries(client);
+        changeLevels(client);
+        replaceTable(client);
+        rejectEntries(client);
+        changeSubscriptions(client);
         client.out.onCompleted();
-        client.endsWith();
-        dialsAgain(client.held);
+        client.awaitEnd();
+        reconnect(client.versionsByType);
         recording.check();
     }
 
-    private void subscribes(DeltaClient client) throws Exception {
-        client.asks(CLUSTERS, Map.of(), "*");
-        client.asks(ROUTES, Map.of(), "txns", "none");
-        client.asks(ENDPOINTS, Map.of(), "t0", "t1", "t2", "x", "t-1");
-        client.asks(
+    private void subscribe(DeltaClient client) throws Exception {
+        client.subscribe(CLUSTERS, Map.of(), "*");
+        client.subscribe(ROUTES, Map.of(), "txns", "none");
+        client.subscribe(ENDPOINTS, Map.of(), "t0", "t1", "t2", "x", "t-1");
+        client.subscribe(
                 LINES,
                 Map.of(),
                 COLLECTION + "t0/*",
@@ -130,50 +130,50 @@
         barrier(client);
     }
 
-    private void changesEntries(DeltaClient client) throws Exception {
-        orders("weights", d -> d.setEntry(0, 1, 80));
-        client.settles();
-        orders("a removal", d -> d.setEntry(0, 2, 0));
-        client.settles();
-        orders("out everywhere", d -> d.setEjected(2, true));
-        client.settles();
-        orders("back", d -> d.setEjected(2, false));
-        client.settles();
+    private void changeEntries(DeltaClient client) throws Exception {
+        applyOrders("weights", d -> d.setEntry(0, 1, 80));
+        client.acceptAll();
+        applyOrders("a removal", d -> d.setEntry(0, 2, 0));
+        client.acceptAll();
+        applyOrders("out everywhere", d -> d.setEjected(2, true));
+        client.acceptAll();
+        applyOrders("back", d -> d.setEjected(2, false));
+        client.acceptAll();
     }
 
-    private void changesLevels(DeltaClient client) throws Exception {
-        orders(
+    private void changeLevels(DeltaClient client) throws Exception {
+        applyOrders(
                 "levels",
                 d -> {
                     d.setAdmissionLevel(0, 0, 0.000001, 0);
                     d.setAdmissionLevel(1, 1, 1, 2);
                     d.setAdmissionLevel(1, 2, 1_000_000, 1);
                 });
-        client.settles();
-        orders("levels that are whole", d -> d.setAdmissionLevel(0, 0, 1e6, 0));
-        client.settles();
+        client.acceptAll();
+        applyOrders("levels that are whole", d -> d.setAdmissionLevel(0, 0, 1e6, 0));
+        client.acceptAll();
     }
 
-    private void replacesTable(DeltaClient client) throws Exception {
-        orders(
+    private void replaceTable(DeltaClient client) throws Exception {
+        applyOrders(
                 "table 2 in place of 1",
                 d -> {
                     d.setEntry(2, 5, 11);
                     d.setEntry(2, 6, 12);
                     d.bind(core.proxyId("proxy-1"), 2, List.of(1, 2));
                 });
-        client.settles();
-        orders("table 1 is cleared", d -> d.clearTable(1));
-        client.settles();
+        client.acceptAll();
+        applyOrders("table 1 is cleared", d -> d.clearTable(1));
+        client.acceptAll();
     }
 
-    private void refusesEntries(DeltaClient client) throws Exception {
-        orders("a line that is refused", d -> d.setEntry(2, 7, 13));
-        client.answered(client.hears(), "not this one");
-        client.settles();
-        orders("its next version", d -> d.setEntry(2, 7, 14));
-        client.settles();
-        orders(
+    private void rejectEntries(DeltaClient client) throws Exception {
+        applyOrders("a line that is refused", d -> d.setEntry(2, 7, 13));
+        client.answer(client.awaitResponse(), "not this one");
+        client.acceptAll();
+        applyOrders("its next version", d -> d.setEntry(2, 7, 14));
+        client.acceptAll();
+        applyOrders(
                 "four lines that are refused at once",
                 d -> {
                     d.setEntry(2, 5, 21);
@@ -181,121 +181,121 @@
                     d.setEntry(2, 8, 22);
                     d.setEntry(2, 9, 23);
                 });
-        client.answered(client.hears(), "too much");
-        client.settles();
+        client.answer(client.awaitResponse(), "too much");
+        client.acceptAll();
     }
 
-    private void changesSubscriptions(DeltaClient client) throws Exception {
-        client.says(
+    private void changeSubscriptions(DeltaClient client) throws Exception {
+        client.send(
                 "unsubscribes from the lines of table 2",
-                client.about(LINES).addResourceNamesUnsubscribe(COLLECTION + "t2/*").build());
+                client.request(LINES).addResourceNamesUnsubscribe(COLLECTION + "t2/*").build());
         barrier(client);
-        orders("a line nobody asked for", d -> d.setEntry(2, 5, 31));
-        client.settles();
-        client.asks(LINES, Map.of(), COLLECTION + "t2/*");
+        applyOrders("a line nobody asked for", d -> d.setEntry(2, 5, 31));
+        client.acceptAll();
+        client.subscribe(LINES, Map.of(), COLLECTION + "t2/*");
         barrier(client);
-        client.settles();
+        client.acceptAll();
     }
 
-    private void dialsAgain(Map<String, Map<String, String>> held) throws Exception {
-        orders(
+    private void reconnect(Map<String, Map<String, String>> held) throws Exception {
+        applyOrders(
                 "meanwhile",
                 d -> {
                     d.setEntry(0, 1, 81);
                     d.setEntry(0, 3, 0);
                 });
         DeltaClient again = deltaClient("proxy-1");
-        again.asksForAll(held);
+        again.subscribeToAll(held);
         barrier(again);
-        orders(
+        applyOrders(
                 "binds again",
                 d -> {
                     d.bind(core.proxyId("proxy-1"), 0, List.of(0));
                     d.bind(core.proxyId("proxy-1"), 2, List.of(1, 2));
                 });
-        again.settles();
+        again.acceptAll();
     }
 
     /** An answer to no message: once it has come, so have the requests before it. */
     private void barrier(DeltaClient client) throws Exception {
         String nonce = "90000" + ++barriers;
-        client.out.onNext(client.about(CLUSTERS).setResponseNonce(nonce).build());
+        client.out.onNext(client.request(CLUSTERS).setResponseNonce(nonce).build());
         core.awaitAnswer(client.name, nonce);
     }
 
     @Test
-    void changesByShares() throws Exception {
-        deltaStory("discovery-delta-shares", false, 0);
+    void incrementalStreamAdmittingBySharesIsAsRecorded() throws Exception {
+        runIncrementalStream("discovery-delta-shares", false, 0);
     }
 
     @Test
-    void changesByRatesUnderAnEpoch() throws Exception {
-        deltaStory("discovery-delta-rates", true, 4_294_967_299L);
+    void incrementalStreamAdmittingByRatesUnderAnEpochIsAsRecorded() throws Exception {
+        runIncrementalStream("discovery-delta-rates", true, 4_294_967_299L);
     }
 
     @Test
-    void wholeStates() throws Exception {
-        opens("discovery-whole-states", false, 7);
+    void stateOfTheWorldStreamIsAsRecorded() throws Exception {
+        startFront("discovery-whole-states", false, 7);
         StateClient client = stateClient("proxy-2");
-        client.asks(CLUSTERS);
+        client.subscribe(CLUSTERS);
         core.awaitSubscribed("proxy-2");
-        firstOrders("proxy-2");
-        DiscoveryResponse clusters = client.hears();
-        client.asks(ROUTES, "txns");
-        client.says(
+        applyFirstOrders("proxy-2");
+        DiscoveryResponse clusters = client.awaitResponse();
+        client.subscribe(ROUTES, "txns");
+        client.send(
                 "a stale nonce",
                 DiscoveryRequest.newBuilder()
                         .setTypeUrl(CLUSTERS)
                         .setVersionInfo("77")
                         .setResponseNonce("77")
                         .build());
-        client.asks(ENDPOINTS, "t0", "t1");
-        client.answers(clusters, null);
+        client.subscribe(ENDPOINTS, "t0", "t1");
+        client.sendAnswer(clusters, null);
         core.awaitAnswer("proxy-2", clusters.getNonce());
-        client.settles();
-        orders("weights", d -> d.setEntry(0, 1, 80));
-        client.settles();
-        orders("a removal", d -> d.setEntry(0, 2, 0));
-        client.settles();
-        orders("out everywhere", d -> d.setEjected(1, true));
-        client.settles();
-        orders("back", d -> d.setEjected(1, false));
-        client.settles();
-        orders("a weight that is refused", d -> d.setEntry(1, 4, 8));
-        client.answered(client.hears(), "no");
-        client.settles();
-        orders("the next one", d -> d.setEntry(1, 4, 9));
-        client.settles();
-        orders("levels", d -> d.setAdmissionLevel(0, 0, 0.5, 1));
-        client.settles();
-        orders("all on table 0", d -> d.bind(core.proxyId("proxy-2"), 0, List.of(0, 1, 2)));
-        client.settles();
+        client.acceptAll();
+        applyOrders("weights", d -> d.setEntry(0, 1, 80));
+        client.acceptAll();
+        applyOrders("a removal", d -> d.setEntry(0, 2, 0));
+        client.acceptAll();
+        applyOrders("out everywhere", d -> d.setEjected(1, true));
+        client.acceptAll();
+        applyOrders("back", d -> d.setEjected(1, false));
+        client.acceptAll();
+        applyOrders("a weight that is refused", d -> d.setEntry(1, 4, 8));
+        client.answer(client.awaitResponse(), "no");
+        client.acceptAll();
+        applyOrders("the next one", d -> d.setEntry(1, 4, 9));
+        client.acceptAll();
+        applyOrders("levels", d -> d.setAdmissionLevel(0, 0, 0.5, 1));
+        client.acceptAll();
+        applyOrders("all on table 0", d -> d.bind(core.proxyId("proxy-2"), 0, List.of(0, 1, 2)));
+        client.acceptAll();
         recording.check();
     }
 
     @Test
-    void streamsThatAreEndedAreToldWhy() throws Exception {
-        opens("discovery-refusals", false, 0);
+    void rejectedStreamsEndWithTheRecordedStatus() throws Exception {
+        startFront("discovery-refusals", false, 0);
         DeltaClient unknown = deltaClient("unknown-type");
-        unknown.asks("type.googleapis.com/nobody.knows.This", Map.of());
-        unknown.endsWith();
+        unknown.subscribe("type.googleapis.com/nobody.knows.This", Map.of());
+        unknown.awaitEnd();
         DeltaClient nameless = deltaClient("");
-        nameless.asks(CLUSTERS, Map.of());
-        nameless.endsWith();
+        nameless.subscribe(CLUSTERS, Map.of());
+        nameless.awaitEnd();
         DeltaClient longName = deltaClient("long-name");
         longName.out.onNext(
-                longName.about(ENDPOINTS).addResourceNamesSubscribe("t".repeat(513)).build());
-        longName.endsWith();
+                longName.request(ENDPOINTS).addResourceNamesSubscribe("t".repeat(513)).build());
+        longName.awaitEnd();
         DeltaClient many = deltaClient("many-names");
-        DeltaDiscoveryRequest.Builder request = many.about(ENDPOINTS);
+        DeltaDiscoveryRequest.Builder request = many.request(ENDPOINTS);
         for (int i = 0; i <= 2000; i++) {
             request.addResourceNamesSubscribe("t" + i);
         }
         many.out.onNext(request.build());
-        many.endsWith();
+        many.awaitEnd();
         StateClient state = stateClient("state-unknown-type");
-        state.asks("", "x");
-        state.endsWith();
+        state.subscribe("", "x");
+        state.awaitEnd();
         recording.check();
     }
 }
--- a/src/test/java/sprucelanding/front/xds/RecordedLoadReportsTest.java
+++ b/src/test/java/sprucelanding/front/xds/RecordedLoadReportsTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void loadReports() throws Exception {
+    void loadReportsAreParsedAsRecorded() throws Exception {
         StreamObserver<LoadStatsRequest> out =
                 LoadReportingServiceGrpc.newStub(channel).streamLoadStats(responses);
         out.onNext(
--- a/src/test/java/sprucelanding/front/xds/StateClient.java
+++ b/src/test/java/sprucelanding/front/xds/StateClient.java
@@ -19,9 +19,9 @@
         out = AggregatedDiscoveryServiceGrpc.newStub(channel).streamAggregatedResources(this);
     }
 
-    void asks(String type, String... wanted) {
+    void subscribe(String type, String... wanted) {
         names.put(type, List.of(wanted));
-        says(
+        send(
                 "wants " + List.of(wanted) + " of " + type,
                 DiscoveryRequest.newBuilder()
                         .setNode(RecordedDiscoveryTest.node(name))
@@ -31,7 +31,7 @@
     }
 
     @Override
-    void answers(DiscoveryResponse response, String error) {
+    void sendAnswer(DiscoveryResponse response, String error) {
         DiscoveryRequest.Builder request =
                 DiscoveryRequest.newBuilder()
                         .setTypeUrl(response.getTypeUrl())
