--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedClients.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedClients.java
@@ -11,10 +11,10 @@
  */
 final class EmulatedClients {
     private final class ClientRequest implements EmulatedProxy.ResponseListener {
-        final long id = world.nextRequestId();
+        final long id = fleet.nextRequestId();
         final int requestClass;
         final double work;
-        final double startedAt = world.clock.now();
+        final double startedAt = fleet.clock.now();
         private final VirtualClock.ScheduledTask expiry;
         int attempts;
         int latestAttempt;
@@ -24,16 +24,16 @@
         ClientRequest(int requestClass, double work) {
             this.requestClass = requestClass;
             this.work = work;
-            world.record(
+            fleet.record(
                     new TraceEvent.RequestArrived(startedAt, proxy.number, requestClass, id, work));
             expiry =
-                    world.clock.scheduleAfter(
+                    fleet.clock.scheduleAfter(
                             requestClassSpec().expiry(),
                             () -> complete(TraceEvent.RequestOutcome.VOIDED));
         }
 
         private Scenario.RequestClassSettings requestClassSpec() {
-            return world.scenario.products().get(requestClass);
+            return fleet.scenario.products().get(requestClass);
         }
 
         void send() {
@@ -41,7 +41,7 @@
                 return;
             }
             attempts++;
-            double now = world.clock.now();
+            double now = fleet.clock.now();
             double remainingMillis = requestClassSpec().expiry() - (now - startedAt);
             if (remainingMillis <= 1) {
                 complete(
@@ -63,7 +63,7 @@
                     now
                             + Math.min(
                                     remainingMillis,
-                                    world.scenario.clients().tryShare()
+                                    fleet.scenario.clients().tryShare()
                                             * requestClassSpec().expiry()));
         }
 
@@ -72,7 +72,7 @@
             if (ended) {
                 return;
             }
-            double elapsedMillis = world.clock.now() - startedAt;
+            double elapsedMillis = fleet.clock.now() - startedAt;
             if (status == 200) {
                 complete(
                         elapsedMillis <= requestClassSpec().sla()
@@ -83,11 +83,11 @@
             declined = status == 503;
             if (retryPolicy.shouldRetry(
                     attempts,
-                    world.isIdempotent(requestClass),
+                    fleet.isIdempotent(requestClass),
                     notExecuted,
                     elapsedMillis,
                     requestClassSpec().expiry())) {
-                world.clock.scheduleAfter(
+                fleet.clock.scheduleAfter(
                         retryPolicy.delayMillis(retryRandom.nextDouble()), this::send);
             } else {
                 complete(
@@ -101,45 +101,45 @@
             if (!ended) {
                 ended = true;
                 expiry.cancel();
-                world.record(
+                fleet.record(
                         new TraceEvent.RequestEnded(
-                                world.clock.now(),
+                                fleet.clock.now(),
                                 requestClass,
                                 id,
                                 outcome,
-                                world.clock.now() - startedAt));
+                                fleet.clock.now() - startedAt));
             }
         }
     }
 
-    private final EmulatedFleet world;
+    private final EmulatedFleet fleet;
     private final EmulatedProxy proxy;
     private final Demand demand;
     private final ClientRetryPolicy retryPolicy;
     private final SplittableRandom retryRandom;
 
-    EmulatedClients(EmulatedFleet world, EmulatedProxy proxy, Demand demand, long seed) {
-        this.world = world;
+    EmulatedClients(EmulatedFleet fleet, EmulatedProxy proxy, Demand demand, long seed) {
+        this.fleet = fleet;
         this.proxy = proxy;
         this.demand = demand;
-        this.retryPolicy = world.scenario.clients().retryPolicy();
+        this.retryPolicy = fleet.scenario.clients().retryPolicy();
         this.retryRandom = new SplittableRandom(seed);
     }
 
     void start() {
-        scheduleNext(world.clock.now());
+        scheduleNext(fleet.clock.now());
     }
 
     private void scheduleNext(double afterMillis) {
-        Demand.Arrival arrival = demand.nextArrival(afterMillis - world.startsAt(), world.rate());
-        if (arrival != null && arrival.at() + world.startsAt() <= world.endsAt()) {
-            world.clock.schedule(
-                    arrival.at() + world.startsAt(),
+        Demand.Arrival arrival = demand.nextArrival(afterMillis - fleet.startsAt(), fleet.rate());
+        if (arrival != null && arrival.at() + fleet.startsAt() <= fleet.endsAt()) {
+            fleet.clock.schedule(
+                    arrival.at() + fleet.startsAt(),
                     () -> {
                         if (arrival.requestClass() >= 0) {
                             new ClientRequest(arrival.requestClass(), arrival.work()).send();
                         }
-                        scheduleNext(arrival.at() + world.startsAt());
+                        scheduleNext(arrival.at() + fleet.startsAt());
                     });
         }
     }
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedDiscovery.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedDiscovery.java
@@ -13,13 +13,13 @@
 /** The roster: what it learns it tells to all governors that watch, maybe late. */
 final class EmulatedDiscovery {
     private static final double REOPEN_MILLIS = 500;
-    private final EmulatedFleet world;
+    private final EmulatedFleet fleet;
     private final Map<Long, ListedEndpoint> entries = new LinkedHashMap<>();
     private long version = 1;
     private double delayMillis;
 
-    EmulatedDiscovery(EmulatedFleet world) {
-        this.world = world;
+    EmulatedDiscovery(EmulatedFleet fleet) {
+        this.fleet = fleet;
     }
 
     void setDelay(double millis) {
@@ -28,16 +28,16 @@
 
     /** A governor begins to watch: it is told all. */
     void open(EmulatedGovernor governor) {
-        world.clock.scheduleAfter(
+        fleet.clock.scheduleAfter(
                 2 * EmulatedFleet.HOP_MILLIS,
                 () -> {
                     if (!governor.isAlive()) {
                         return;
                     }
                     governor.submit(core -> core.core().discoveryConnected());
-                    double now = world.clock.now();
+                    double now = fleet.clock.now();
                     List<ListedEndpoint> listed = List.copyOf(entries.values());
-                    world.record(
+                    fleet.record(
                             new TraceEvent.EndpointListReported(
                                     now,
                                     governor.number,
@@ -50,10 +50,10 @@
 
     private void send(
             EmulatedGovernor governor, Collection<ListedEndpoint> entries, boolean complete) {
-        double now = world.clock.now();
+        double now = fleet.clock.now();
         entries.forEach(
                 entry ->
-                        world.record(
+                        fleet.record(
                                 new TraceEvent.EndpointReported(
                                         now,
                                         governor.number,
@@ -61,13 +61,13 @@
                                         entry.state() == ListedEndpoint.State.READY,
                                         entry.startedAt())));
         governor.onDiscoveryUpdate(
-                EndpointList.formatUpdate(version, complete, entries, world.zones, world.kinds));
+                EndpointList.formatUpdate(version, complete, entries, fleet.zones, fleet.kinds));
     }
 
     void scheduleUpdate(
             List<EmulatedEndpoint> endpoints, ListedEndpoint.State stage, double afterMillis) {
         if (afterMillis + delayMillis > 0) {
-            world.clock.scheduleAfter(afterMillis + delayMillis, () -> update(endpoints, stage));
+            fleet.clock.scheduleAfter(afterMillis + delayMillis, () -> update(endpoints, stage));
         } else {
             update(endpoints, stage);
         }
@@ -96,14 +96,14 @@
         }
         if (!changes.isEmpty()) {
             version++;
-            world.governorNodes.stream()
+            fleet.governorNodes.stream()
                     .filter(governor -> governor.isAlive() && governor.watchesDiscovery())
                     .forEach(governor -> send(governor, changes, false));
         }
     }
 
     void restart() {
-        world.governorNodes.stream()
+        fleet.governorNodes.stream()
                 .filter(governor -> governor.isAlive() && governor.watchesDiscovery())
                 .forEach(
                         governor -> {
@@ -112,7 +112,7 @@
                                             core.core()
                                                     .discoveryFailed(
                                                             "the roster starts anew", true));
-                            world.clock.scheduleAfter(REOPEN_MILLIS, () -> open(governor));
+                            fleet.clock.scheduleAfter(REOPEN_MILLIS, () -> open(governor));
                         });
     }
 }
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedEndpoint.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedEndpoint.java
@@ -34,8 +34,8 @@
     final String key;
     final int zone;
     final int kind;
-    private final EmulatedFleet world;
-    private final EndpointModel<Job> machine;
+    private final EmulatedFleet fleet;
+    private final EndpointModel<Job> model;
     private final SplittableRandom random;
 
     /** Those whose connections are in use. */
@@ -54,28 +54,28 @@
     int incarnation;
 
     EmulatedEndpoint(
-            EmulatedFleet world,
+            EmulatedFleet fleet,
             int number,
             long id,
             int zone,
             int kind,
             EndpointModel.Capacity capacity,
             long seed) {
-        this.world = world;
+        this.fleet = fleet;
         this.number = number;
         this.id = id;
         this.key = Long.toString(id);
         this.zone = zone;
         this.kind = kind;
         this.random = new SplittableRandom(seed);
-        this.machine =
+        this.model =
                 new EndpointModel<>(
                         capacity,
                         new EndpointModel.JobListener<>() {
                             @Override
                             public void onStarted(Job job, double now) {
                                 if (job.requestClass >= 0) {
-                                    world.record(
+                                    fleet.record(
                                             new TraceEvent.Executed(
                                                     now,
                                                     id,
@@ -90,7 +90,7 @@
                             public void onCompleted(Job job, double now) {
                                 recordCompletion(job, now);
                                 double utilization = utilization();
-                                world.clock.scheduleAfter(
+                                fleet.clock.scheduleAfter(
                                         EmulatedFleet.HOP_MILLIS,
                                         () -> job.listener.onResponse(200, false, utilization));
                             }
@@ -99,7 +99,7 @@
 
     private void recordCompletion(Job job, double now) {
         if (job.requestClass >= 0) {
-            machine.recordServiceTime(now - job.arrivedAt);
+            model.recordServiceTime(now - job.arrivedAt);
         }
     }
 
@@ -113,13 +113,13 @@
 
     /** What it can do at the moment, ms of work a ms; 0 if it answers nothing. */
     double maxWorkRate() {
-        return up && machine.isResponsive()
-                ? machine.maxWorkRate(world.clock.now()) * (1 - failureShare)
+        return up && model.isResponsive()
+                ? model.maxWorkRate(fleet.clock.now()) * (1 - failureShare)
                 : 0;
     }
 
     double utilization() {
-        return machine.utilization();
+        return model.utilization();
     }
 
     void start(boolean coldStart) {
@@ -129,13 +129,13 @@
         up = true;
         incarnation++;
         connections = 0;
-        double now = world.clock.now();
+        double now = fleet.clock.now();
         startedAt = coldStart ? now : 0;
-        machine.start(startedAt, now);
+        model.start(startedAt, now);
         if (coldStart) {
-            world.record(
+            fleet.record(
                     new TraceEvent.EndpointStarted(
-                            now, id, machine.capacity.cores() * machine.capacity.speed()));
+                            now, id, model.capacity().cores() * model.capacity().speed()));
         }
     }
 
@@ -145,24 +145,24 @@
         }
         up = false;
         connections = 0;
-        world.record(new TraceEvent.EndpointStopped(world.clock.now(), id));
-        machine.start(0, world.clock.now());
+        fleet.record(new TraceEvent.EndpointStopped(fleet.clock.now(), id));
+        model.start(0, fleet.clock.now());
         scheduleAdvance();
         failureShare = 0;
         ignoredZone = -1;
         List<ResponseListener> brokenListeners = new ArrayList<>(pendingListeners);
         pendingListeners.clear();
-        world.clock.scheduleAfter(
+        fleet.clock.scheduleAfter(
                 EmulatedFleet.HOP_MILLIS,
                 () -> {
                     brokenListeners.forEach(ResponseListener::onConnectionBroken);
-                    world.clearIdleConnections(this);
+                    fleet.clearIdleConnections(this);
                 });
     }
 
     void update(java.util.function.Consumer<EndpointModel<?>> change) {
-        machine.advance(world.clock.now());
-        change.accept(machine);
+        model.advance(fleet.clock.now());
+        change.accept(model);
         scheduleAdvance();
     }
 
@@ -181,11 +181,11 @@
     /** Whether one more is accepted. */
     boolean acceptsConnection() {
         return connections
-                < (connectionLimit > 0 ? connectionLimit : machine.capacity.maxConnections());
+                < (connectionLimit > 0 ? connectionLimit : model.capacity().maxConnections());
     }
 
     private boolean isReachableFrom(int from) {
-        return world.isOpen(from, zone) && from != ignoredZone;
+        return fleet.isOpen(from, zone) && from != ignoredZone;
     }
 
     /** A request comes over a connection. */
@@ -205,19 +205,19 @@
         if (!isReachableFrom(from)) {
             return;
         }
-        double now = world.clock.now();
-        machine.advance(now);
-        world.record(
+        double now = fleet.clock.now();
+        model.advance(now);
+        fleet.record(
                 new TraceEvent.AttemptSent(now, proxy, id, requestClass, requestId, attempt, work));
-        if (machine.hung()) {
+        if (model.isHung()) {
             return;
         }
         if (failureShare > 0 && random.nextDouble() < failureShare) {
             respond(listener, 500, false);
-        } else if (machine.isFull()) {
+        } else if (model.isFull()) {
             respond(listener, 503, true);
         } else {
-            machine.submit(
+            model.submit(
                     new Job(listener, requestClass, requestId, proxy, attempt, now),
                     work,
                     false,
@@ -229,20 +229,20 @@
     void healthCheck(ResponseListener listener, int from) {
         if (!up) {
             listener.onConnectionBroken();
-        } else if (isReachableFrom(from) && machine.isResponsive()) {
-            machine.advance(world.clock.now());
-            machine.submit(
-                    new Job(listener, -1, 0, -1, 0, world.clock.now()),
+        } else if (isReachableFrom(from) && model.isResponsive()) {
+            model.advance(fleet.clock.now());
+            model.submit(
+                    new Job(listener, -1, 0, -1, 0, fleet.clock.now()),
                     HEALTH_CHECK_WORK,
                     true,
-                    world.clock.now());
+                    fleet.clock.now());
             scheduleAdvance();
         }
     }
 
     private void respond(ResponseListener listener, int status, boolean notExecuted) {
-        double utilization = machine.utilization();
-        world.clock.scheduleAfter(
+        double utilization = model.utilization();
+        fleet.clock.scheduleAfter(
                 EmulatedFleet.HOP_MILLIS,
                 () -> listener.onResponse(status, notExecuted, utilization));
     }
@@ -257,13 +257,13 @@
             nextAdvance.cancel();
             nextAdvance = null;
         }
-        double advanceAt = machine.nextEventAt(world.clock.now());
+        double advanceAt = model.nextEventAt(fleet.clock.now());
         if (advanceAt < Double.POSITIVE_INFINITY) {
             nextAdvance =
-                    world.clock.schedule(
+                    fleet.clock.schedule(
                             advanceAt,
                             () -> {
-                                machine.advance(world.clock.now());
+                                model.advance(fleet.clock.now());
                                 scheduleAdvance();
                             });
         }
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedFleet.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedFleet.java
@@ -72,7 +72,7 @@
 
     /** What befalls the fleet: called once, before the clients begin. */
     interface FaultPlan {
-        void schedule(EmulatedFleet world);
+        void schedule(EmulatedFleet fleet);
     }
 
     /**
@@ -429,12 +429,12 @@
 
     @Override
     public void setEndpointHanging(int endpoint, boolean enabled) {
-        endpoints.get(endpoint).update(machine -> machine.hung(enabled));
+        endpoints.get(endpoint).update(model -> model.setHung(enabled));
     }
 
     @Override
     public void setEndpointSlowdown(int endpoint, double factor) {
-        endpoints.get(endpoint).update(machine -> machine.setSlowdown(factor));
+        endpoints.get(endpoint).update(model -> model.setSlowdown(factor));
     }
 
     @Override
@@ -444,12 +444,12 @@
 
     @Override
     public void setEndpointPaused(int endpoint, boolean enabled) {
-        endpoints.get(endpoint).update(machine -> machine.setPaused(enabled));
+        endpoints.get(endpoint).update(model -> model.setPaused(enabled));
     }
 
     @Override
     public void setEndpointOccupiedShare(int endpoint, double share) {
-        endpoints.get(endpoint).update(machine -> machine.setStolenShare(share));
+        endpoints.get(endpoint).update(model -> model.setStolenShare(share));
     }
 
     @Override
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedGovernor.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedGovernor.java
@@ -30,7 +30,7 @@
     final int number;
     final int zone;
     final Set<EmulatedStream> streams = new LinkedHashSet<>();
-    private final EmulatedFleet world;
+    private final EmulatedFleet fleet;
     private final GovernorConfig config;
     private final ArrayDeque<Consumer<SharedGovernorCore>> steps = new ArrayDeque<>();
     private final Histogram acknowledgementTimes = new Histogram(600_000_000L, 3);
@@ -49,8 +49,8 @@
     private int internalErrors;
     private double longestAcknowledgement;
 
-    EmulatedGovernor(EmulatedFleet world, int number, int zone, GovernorConfig config) {
-        this.world = world;
+    EmulatedGovernor(EmulatedFleet fleet, int number, int zone, GovernorConfig config) {
+        this.fleet = fleet;
         this.number = number;
         this.zone = zone;
         this.config = config;
@@ -61,14 +61,14 @@
             return;
         }
         int startedIncarnation = ++incarnation;
-        world.clock.scheduleAfter(
+        fleet.clock.scheduleAfter(
                 startedIncarnation == 1 ? 0 : START_MILLIS,
                 () -> {
                     if (startedIncarnation != incarnation) {
                         return;
                     }
                     RoutingController controller = GovernorComponents.controller(config);
-                    RecordingInput.Sink sink = world.capture(number, startedIncarnation);
+                    RecordingInput.Sink sink = fleet.capture(number, startedIncarnation);
                     RecordingInput overheard =
                             sink == null
                                     ? null
@@ -78,10 +78,10 @@
                             new SharedGovernorCore(
                                     this,
                                     (recipient, message) ->
-                                            world.sendToPeers(number, recipient, message),
+                                            fleet.sendToPeers(number, recipient, message),
                                     GovernorComponents.fleetMember(
                                             config, highestGeneration, now()),
-                                    world.zones::indexOf,
+                                    fleet.zones::indexOf,
                                     host ->
                                             GovernorComponents.core(
                                                     config,
@@ -148,7 +148,7 @@
         if (!batchScheduled && !paused && isAlive() && !steps.isEmpty()) {
             batchScheduled = true;
             int startedIncarnation = incarnation;
-            world.clock.scheduleAfter(
+            fleet.clock.scheduleAfter(
                     BATCH_MILLIS,
                     () -> {
                         batchScheduled = false;
@@ -205,14 +205,14 @@
                 core ->
                         core.drain(
                                 () ->
-                                        world.clock.scheduleAfter(
+                                        fleet.clock.scheduleAfter(
                                                 1,
                                                 () -> {
                                                     if (startedIncarnation == incarnation) {
                                                         crash();
                                                     }
                                                 })));
-        world.clock.scheduleAfter(
+        fleet.clock.scheduleAfter(
                 STOP_TIMEOUT_MILLIS,
                 () -> {
                     if (startedIncarnation == incarnation) {
@@ -264,13 +264,13 @@
 
     @Override
     public double now() {
-        return world.clock.now();
+        return fleet.clock.now();
     }
 
     @Override
     public void schedule(double time, Runnable step) {
         int startedIncarnation = incarnation;
-        world.clock.schedule(
+        fleet.clock.schedule(
                 time,
                 () -> {
                     if (startedIncarnation == incarnation) {
@@ -295,7 +295,7 @@
     @Override
     public void startHealthCheck(ListedEndpoint listedEndpoint) {
         int startedIncarnation = incarnation;
-        EmulatedEndpoint core = world.endpoint(listedEndpoint.id());
+        EmulatedEndpoint core = fleet.endpoint(listedEndpoint.id());
         boolean[] finished = new boolean[1];
         EmulatedEndpoint.ResponseListener listener =
                 new EmulatedEndpoint.ResponseListener() {
@@ -324,9 +324,9 @@
                         done(HealthCheckResult.UNREACHABLE, Double.NaN);
                     }
                 };
-        world.clock.scheduleAfter(
+        fleet.clock.scheduleAfter(
                 config.probes().timeout(), () -> listener.onResponse(-1, false, Double.NaN));
-        world.clock.scheduleAfter(
+        fleet.clock.scheduleAfter(
                 2 * EmulatedFleet.HOP_MILLIS, () -> core.healthCheck(listener, zone));
     }
 
@@ -338,7 +338,7 @@
     @Override
     public void watchEndpointList() {
         watchesDiscovery = true;
-        world.discovery.open(this);
+        fleet.discovery.open(this);
     }
 
     @Override
@@ -361,7 +361,7 @@
                     if (core.core().endpointListReceived(text)) {
                         savedEndpointList = core.core().endpointListText();
                     } else {
-                        world.discovery.open(this);
+                        fleet.discovery.open(this);
                     }
                 });
     }
@@ -373,12 +373,12 @@
 
     @Override
     public void log(String text, Object... figures) {
-        world.log(number, text, figures);
+        fleet.log(number, text, figures);
     }
 
     @Override
     public void decisionFailed(RuntimeException e) {
         internalErrors++;
-        world.log(number, "BUG: a decision failed", "why", e.toString());
+        fleet.log(number, "BUG: a decision failed", "why", e.toString());
     }
 }
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedProxy.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedProxy.java
@@ -56,11 +56,11 @@
         }
 
         void startAttempt() {
-            double now = world.clock.now();
+            double now = fleet.clock.now();
             WeightedEndpoint<EmulatedEndpoint> chosen =
                     tables.pick(
-                            world.requestClasses.get(requestClass),
-                            world.pick,
+                            fleet.requestClasses.get(requestClass),
+                            fleet.pick,
                             entry ->
                                     entry.endpoint == previousEndpoint
                                             || localOutliers.isAvoided(entry.endpoint, now),
@@ -78,7 +78,7 @@
     private final class Attempt implements EmulatedEndpoint.ResponseListener {
         final Request request;
         final EmulatedEndpoint endpoint;
-        final double startedAt = world.clock.now();
+        final double startedAt = fleet.clock.now();
         final int incarnation;
         VirtualClock.ScheduledTask timeout;
         boolean connected;
@@ -92,21 +92,21 @@
 
         void start() {
             openAttempts[endpoint.number]++;
-            endpointStats(endpoint).issued++;
+            endpointStats(endpoint).attemptStarted();
             double remainingMillis = Math.max(1, request.deadline - startedAt);
             timeout =
-                    world.clock.scheduleAfter(
+                    fleet.clock.scheduleAfter(
                             remainingMillis, () -> complete(0, false, Double.NaN));
             if (idleConnections[endpoint.number] > 0) {
                 idleConnections[endpoint.number]--;
                 connected = true;
-                world.clock.scheduleAfter(EmulatedFleet.HOP_MILLIS, this::send);
-            } else if (!world.isOpen(zone, endpoint.zone)) {
-                world.clock.scheduleAfter(
+                fleet.clock.scheduleAfter(EmulatedFleet.HOP_MILLIS, this::send);
+            } else if (!fleet.isOpen(zone, endpoint.zone)) {
+                fleet.clock.scheduleAfter(
                         Math.min(CONNECT_TIMEOUT_MILLIS, remainingMillis),
                         () -> complete(0, true, Double.NaN));
             } else {
-                world.clock.scheduleAfter(2 * EmulatedFleet.HOP_MILLIS, this::connect);
+                fleet.clock.scheduleAfter(2 * EmulatedFleet.HOP_MILLIS, this::connect);
             }
         }
 
@@ -165,7 +165,7 @@
                 endpoint.connections--; // closed; its work goes on
             }
             openAttempts[endpoint.number]--;
-            double now = world.clock.now();
+            double now = fleet.clock.now();
             endpointStats(endpoint).attemptEnded(status == 200, now - startedAt, utilization);
             localOutliers.attemptEnded(endpoint, status == 200, now);
             if (status == 200) {
@@ -173,7 +173,7 @@
                 return;
             }
             if (Route.shouldRetry(
-                    tables.routes.get(world.requestClasses.get(request.requestClass)),
+                    tables.routes.get(fleet.requestClasses.get(request.requestClass)),
                     request.attempts,
                     notExecuted,
                     request.deadline - now)) {
@@ -189,7 +189,7 @@
     final int zone;
     final double expectedRate;
     private final ProxyStream.UpdateMode form;
-    private final EmulatedFleet world;
+    private final EmulatedFleet fleet;
     private final List<EmulatedGovernor> governors;
     private final SplittableRandom random;
     private final SplittableRandom reconnectRandom;
@@ -219,14 +219,14 @@
     private int responsesToDrop;
 
     EmulatedProxy(
-            EmulatedFleet world,
+            EmulatedFleet fleet,
             int number,
             int zone,
             double expectedRate,
             ProxyStream.UpdateMode form,
             List<EmulatedGovernor> governors,
             long seed) {
-        this.world = world;
+        this.fleet = fleet;
         this.number = number;
         this.zone = zone;
         this.expectedRate = expectedRate;
@@ -234,11 +234,11 @@
         this.governors = governors;
         this.random = new SplittableRandom(seed);
         this.reconnectRandom = new SplittableRandom(seed + 1);
-        int endpointCount = world.endpoints.size();
+        int endpointCount = fleet.endpoints.size();
         openAttempts = new int[endpointCount];
         idleConnections = new int[endpointCount];
         endpointStats = new EndpointStats[endpointCount];
-        arrivals = new long[world.requestClasses.size()];
+        arrivals = new long[fleet.requestClasses.size()];
     }
 
     private EndpointStats endpointStats(EmulatedEndpoint endpoint) {
@@ -254,7 +254,7 @@
         stopped = false;
         tables = new ProxyTables<>();
         admissionGate = new AdmissionGate();
-        localOutliers = world.newLocalOutliers();
+        localOutliers = fleet.newLocalOutliers();
         heldVersions.clear();
         stateAccepted = false;
         reportedPickable.clear();
@@ -268,7 +268,7 @@
     void crash() {
         stopped = true;
         disconnect();
-        for (EmulatedEndpoint endpoint : world.endpoints) {
+        for (EmulatedEndpoint endpoint : fleet.endpoints) {
             endpoint.connections -= endpoint.isUp() ? idleConnections[endpoint.number] : 0;
             idleConnections[endpoint.number] = 0;
         }
@@ -291,7 +291,7 @@
     }
 
     void setReadsPaused(boolean enabled) {
-        world.record(new TraceEvent.ReadingChanged(world.clock.now(), number, !enabled));
+        fleet.record(new TraceEvent.ReadingChanged(fleet.clock.now(), number, !enabled));
         readsPaused = enabled;
         if (!enabled && stream != null) {
             stream.flush();
@@ -301,7 +301,7 @@
     /** Another manager adds a line that nobody asked for; a device tells of it. */
     void driftConfiguration() {
         if (form == ProxyStream.UpdateMode.EDITS && stream != null) {
-            heldVersions.put(ResourceName.entry(0, world.endpoints.get(0).id), "d1");
+            heldVersions.put(ResourceName.entry(0, fleet.endpoints.get(0).id), "d1");
             Map<ResourceName, String> versions = Map.copyOf(heldVersions);
             stream.sendToGovernor(core -> core.core().fullStateRead(stream.proxyStream, versions));
         }
@@ -320,8 +320,8 @@
             return;
         }
         arrivals[requestClass]++;
-        String name = world.requestClasses.get(requestClass);
-        if (!admissionGate.admits(name, tables.routes.get(name), world.clock.now(), random)) {
+        String name = fleet.requestClasses.get(requestClass);
+        if (!admissionGate.admits(name, tables.routes.get(name), fleet.clock.now(), random)) {
             client.onResponse(503, true);
             return;
         }
@@ -333,7 +333,7 @@
     private void disconnect() {
         if (joined) {
             joined = false;
-            world.record(new TraceEvent.ProxyLeft(world.clock.now(), number));
+            fleet.record(new TraceEvent.ProxyLeft(fleet.clock.now(), number));
         }
         connectionAttempt++;
         if (stream != null) {
@@ -344,7 +344,7 @@
 
     private void scheduleReconnect() {
         int attempt = connectionAttempt;
-        world.clock.scheduleAfter(
+        fleet.clock.scheduleAfter(
                 MIN_RECONNECT_MILLIS
                         + reconnectRandom.nextDouble()
                                 * (MAX_RECONNECT_MILLIS - MIN_RECONNECT_MILLIS),
@@ -374,7 +374,7 @@
         }
         stream =
                 new EmulatedStream(
-                        world, this, governors.get(governorIndex % governors.size()), form);
+                        fleet, this, governors.get(governorIndex % governors.size()), form);
         EmulatedStream current = stream;
         boolean withoutTables =
                 form == ProxyStream.UpdateMode.WHOLE
@@ -390,7 +390,7 @@
                             current,
                             current.proxyStream,
                             "proxy-" + number,
-                            world.zones.get(zone),
+                            fleet.zones.get(zone),
                             expectedRate,
                             withoutTables);
                     if (form == ProxyStream.UpdateMode.CHANGES) {
@@ -423,12 +423,12 @@
                                         });
                     }
                 });
-        reportedAt = world.clock.now();
+        reportedAt = fleet.clock.now();
         scheduleReport(current);
     }
 
     private void scheduleReport(EmulatedStream current) {
-        world.clock.scheduleAfter(
+        fleet.clock.scheduleAfter(
                 form == ProxyStream.UpdateMode.EDITS
                         ? EmulatedFleet.NOTIFICATION_MILLIS
                         : current.governor.reportIntervalMillis(),
@@ -438,18 +438,18 @@
                         for (int endpoint = 0; endpoint < endpointStats.length; endpoint++) {
                             EndpointStats observed = endpointStats[endpoint];
                             if (observed != null
-                                    && (observed.issued > 0
-                                            || observed.completed > 0
-                                            || observed.failed > 0)) {
+                                    && (observed.issued() > 0
+                                            || observed.completed() > 0
+                                            || observed.failed() > 0)) {
                                 stats.add(
                                         new LoadReport.EndpointStats(
-                                                world.endpoints.get(endpoint).id,
-                                                observed.issued,
-                                                observed.completed,
-                                                observed.failed,
-                                                observed.responseMillis,
-                                                observed.utilizationSum,
-                                                observed.utilizationReports));
+                                                fleet.endpoints.get(endpoint).id,
+                                                observed.issued(),
+                                                observed.completed(),
+                                                observed.failed(),
+                                                observed.responseMillis(),
+                                                observed.utilizationSum(),
+                                                observed.utilizationReports()));
                             }
                             endpointStats[endpoint] = null;
                         }
@@ -458,7 +458,7 @@
                             counts.add(arrivals[requestClass]);
                             arrivals[requestClass] = 0;
                         }
-                        double now = world.clock.now();
+                        double now = fleet.clock.now();
                         LoadReport loadReport =
                                 new LoadReport(number, now - reportedAt, stats, counts);
                         reportedAt = now;
@@ -473,16 +473,16 @@
         if (current != stream) {
             return;
         }
-        double now = world.clock.now();
+        double now = fleet.clock.now();
         if (!joined) {
             joined = true;
-            world.record(new TraceEvent.ProxyJoined(now, number, current.governor.number));
+            fleet.record(new TraceEvent.ProxyJoined(now, number, current.governor.number));
         }
         boolean reject =
                 messagesToReject > 0
                         && (form != ProxyStream.UpdateMode.CHANGES || !message.resources.isEmpty());
         String kind = message.type == null ? "edit" : message.type.name();
-        world.record(
+        fleet.record(
                 new TraceEvent.MessageSent(
                         now,
                         number,
@@ -551,7 +551,7 @@
     private void respond(EmulatedStream current, ResourceUpdate message, String reason) {
         if (responsesToDrop > 0 && form == ProxyStream.UpdateMode.EDITS) {
             responsesToDrop--; // the device did it and says nothing: it is read again
-            world.clock.scheduleAfter(
+            fleet.clock.scheduleAfter(
                     EmulatedFleet.RESPONSE_TIMEOUT_MILLIS,
                     () ->
                             current.sendToGovernor(
@@ -566,9 +566,9 @@
         Runnable send =
                 () -> {
                     if (current == stream) {
-                        world.record(
+                        fleet.record(
                                 new TraceEvent.MessageAnswered(
-                                        world.clock.now(), number, message.id, reason != null));
+                                        fleet.clock.now(), number, message.id, reason != null));
                         current.sendToGovernor(
                                 core ->
                                         core.core()
@@ -582,7 +582,7 @@
                                 ? EmulatedFleet.EDIT_COMMIT_MILLIS
                                 : 0);
         if (afterMillis > 0) {
-            world.clock.scheduleAfter(afterMillis, send);
+            fleet.clock.scheduleAfter(afterMillis, send);
         } else {
             send.run();
         }
@@ -616,9 +616,9 @@
             default -> {
                 Map<String, Route> routes = new LinkedHashMap<>();
                 for (RoutingResource.RouteRule rule : item.rules()) {
-                    boolean byRate = world.admitsByRate;
+                    boolean byRate = fleet.admitsByRate;
                     routes.put(
-                            world.requestClasses.get(rule.requestClass()),
+                            fleet.requestClasses.get(rule.requestClass()),
                             new Route(
                                     "t" + rule.table(),
                                     byRate ? 1 : Math.min(1, rule.admittedLevel()),
@@ -635,7 +635,7 @@
     private void putEntry(
             Map<String, WeightedEndpoint<EmulatedEndpoint>> entries,
             RoutingResource.EndpointEntry entry) {
-        EmulatedEndpoint endpoint = world.endpoint(entry.endpointId());
+        EmulatedEndpoint endpoint = fleet.endpoint(entry.endpointId());
         if (endpoint != null) {
             entries.put(
                     endpoint.key,
@@ -655,7 +655,7 @@
                                             && heldName.table() == name.table());
             removedTables.add(name.table());
         } else if (name.type() == ResourceType.LINE) {
-            EmulatedEndpoint endpoint = world.endpoint(name.endpointId());
+            EmulatedEndpoint endpoint = fleet.endpoint(name.endpointId());
             Map<String, WeightedEndpoint<EmulatedEndpoint>> entries =
                     tables.clusters.get("t" + name.table());
             if (entries != null && endpoint != null) {
@@ -674,14 +674,14 @@
         tables.clusters.put("t0", entries);
         if (tables.routes.isEmpty()) {
             Map<String, Route> routes = new LinkedHashMap<>();
-            for (int requestClass = 0; requestClass < world.requestClasses.size(); requestClass++) {
+            for (int requestClass = 0; requestClass < fleet.requestClasses.size(); requestClass++) {
                 routes.put(
-                        world.requestClasses.get(requestClass),
+                        fleet.requestClasses.get(requestClass),
                         new Route(
                                 "t0",
                                 1,
                                 Double.POSITIVE_INFINITY,
-                                world.isIdempotent(requestClass)
+                                fleet.isIdempotent(requestClass)
                                         ? Route.RetryMode.ANY
                                         : Route.RetryMode.UNRUN));
             }
@@ -692,19 +692,19 @@
 
     /** What it lets in of a product; 1 if it was told nothing. */
     double admittedShare(int requestClass) {
-        Route route = tables.routes.get(world.requestClasses.get(requestClass));
+        Route route = tables.routes.get(fleet.requestClasses.get(requestClass));
         return route == null ? 1 : route.admittedShare();
     }
 
     private void tablesChanged() {
         tables.rebuildWeights();
-        for (int requestClass = 0; requestClass < world.requestClasses.size(); requestClass++) {
-            int pickable = tables.pickableCount(world.requestClasses.get(requestClass));
+        for (int requestClass = 0; requestClass < fleet.requestClasses.size(); requestClass++) {
+            int pickable = tables.pickableCount(fleet.requestClasses.get(requestClass));
             Integer previous = reportedPickable.put(requestClass, pickable);
             if (previous == null || previous == 0 != (pickable == 0)) {
-                world.record(
+                fleet.record(
                         new TraceEvent.TableChanged(
-                                world.clock.now(), number, requestClass, pickable));
+                                fleet.clock.now(), number, requestClass, pickable));
             }
         }
         if (!tables.routes.isEmpty()) { // connections to what left its tables are closed
@@ -718,7 +718,7 @@
                                                     entry -> listed[entry.endpoint.number] = true));
             for (int i = 0; i < idleConnections.length; i++) {
                 if (!listed[i] && idleConnections[i] > 0) {
-                    EmulatedEndpoint endpoint = world.endpoints.get(i);
+                    EmulatedEndpoint endpoint = fleet.endpoints.get(i);
                     endpoint.connections -= endpoint.isUp() ? idleConnections[i] : 0;
                     idleConnections[i] = 0;
                 }
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedStream.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedStream.java
@@ -19,7 +19,7 @@
 
     final EmulatedGovernor governor;
     final ProxyStream proxyStream;
-    private final EmulatedFleet world;
+    private final EmulatedFleet fleet;
     private final EmulatedProxy proxy;
     private final boolean hasKeepalive;
 
@@ -33,11 +33,11 @@
     private boolean keepalivePending;
 
     EmulatedStream(
-            EmulatedFleet world,
+            EmulatedFleet fleet,
             EmulatedProxy proxy,
             EmulatedGovernor governor,
             ProxyStream.UpdateMode form) {
-        this.world = world;
+        this.fleet = fleet;
         this.proxy = proxy;
         this.governor = governor;
         this.proxyStream = new ProxyStream(proxy.number, form, this);
@@ -47,20 +47,20 @@
     void open(Consumer<SharedGovernorCore> first) {
         governor.streams.add(this);
         if (!governor.isAlive()) {
-            world.clock.scheduleAfter(OPEN_MILLIS, () -> proxy.onStreamBroken(this));
+            fleet.clock.scheduleAfter(OPEN_MILLIS, () -> proxy.onStreamBroken(this));
             return;
         }
         connectivityChanged();
-        world.clock.scheduleAfter(OPEN_MILLIS, () -> deliverToGovernor(first));
+        fleet.clock.scheduleAfter(OPEN_MILLIS, () -> deliverToGovernor(first));
     }
 
     private boolean isSilent() {
-        return !world.isOpen(proxy.zone, governor.zone) || governor.isolated();
+        return !fleet.isOpen(proxy.zone, governor.zone) || governor.isolated();
     }
 
     /** The proxy says something. */
     void sendToGovernor(Consumer<SharedGovernorCore> step) {
-        world.clock.scheduleAfter(EmulatedFleet.HOP_MILLIS, () -> deliverToGovernor(step));
+        fleet.clock.scheduleAfter(EmulatedFleet.HOP_MILLIS, () -> deliverToGovernor(step));
     }
 
     private void deliverToGovernor(Consumer<SharedGovernorCore> step) {
@@ -83,14 +83,14 @@
                                         MESSAGE_WRITE_MILLIS
                                                 + ENTRY_WRITE_MILLIS * message.entryCount()))
                         + 1e-6;
-        world.clock.schedule(
+        fleet.clock.schedule(
                 lastWriteAt,
                 () -> {
                     if (closed || !governor.canWrite(message)) {
                         return;
                     }
                     String controlPlaneId = governor.controlPlaneId(proxyStream);
-                    world.clock.scheduleAfter(
+                    fleet.clock.scheduleAfter(
                             EmulatedFleet.HOP_MILLIS,
                             () -> {
                                 if (closed) {
@@ -125,7 +125,7 @@
         flush();
         if (hasKeepalive && !keepalivePending && !closed && (isSilent() || governor.isPaused())) {
             keepalivePending = true;
-            world.clock.scheduleAfter(
+            fleet.clock.scheduleAfter(
                     KEEPALIVE_MILLIS,
                     () -> {
                         keepalivePending = false;
@@ -147,7 +147,7 @@
 
     /** The governor ends it, or died. */
     void onGovernorClosed() {
-        world.clock.scheduleAfter(
+        fleet.clock.scheduleAfter(
                 EmulatedFleet.HOP_MILLIS,
                 () -> {
                     if (!closed) {
--- a/src/main/java/sprucelanding/simulation/emulator/Emulation.java
+++ b/src/main/java/sprucelanding/simulation/emulator/Emulation.java
@@ -140,7 +140,7 @@
             long seed,
             EmulationListener listener) {
         Emulation emulation = new Emulation(scenario, listener);
-        EmulatedFleet world =
+        EmulatedFleet fleet =
                 new EmulatedFleet(
                         scenario,
                         durationMillis,
@@ -152,14 +152,14 @@
                         seed,
                         emulation::record,
                         listener);
-        emulation.clientsStartAt = world.startsAt();
+        emulation.clientsStartAt = fleet.startsAt();
         long startedNanos = System.nanoTime();
-        world.run();
+        fleet.run();
         double elapsedMillis = (System.nanoTime() - startedNanos) / 1e6;
         List<Verdict> verdicts = emulation.ruleChecker.verdicts();
         Histogram inForce = new Histogram(600_000_000L, 3);
         int bugs = 0;
-        for (EmulatedGovernor governor : world.governorNodes) {
+        for (EmulatedGovernor governor : fleet.governorNodes) {
             inForce.add(governor.inForce());
             bugs += governor.internalErrors();
         }
@@ -189,10 +189,10 @@
                 bugs,
                 verdicts,
                 elapsedMillis,
-                world.samples(),
-                world.peerBytes() * 1000 / durationMillis,
-                world.peerPackets() * 1000 / durationMillis,
-                world.governorNodes.stream().mapToDouble(EmulatedGovernor::peerHandlingMillis).sum()
+                fleet.samples(),
+                fleet.peerBytes() * 1000 / durationMillis,
+                fleet.peerPackets() * 1000 / durationMillis,
+                fleet.governorNodes.stream().mapToDouble(EmulatedGovernor::peerHandlingMillis).sum()
                         * 1000
                         / durationMillis);
     }
--- a/src/main/java/sprucelanding/simulation/loopback/LoadReportClient.java
+++ b/src/main/java/sprucelanding/simulation/loopback/LoadReportClient.java
@@ -46,7 +46,7 @@
     }
 
     void attemptStarted(InetSocketAddress endpoint) {
-        endpointStats.computeIfAbsent(endpoint, ignored -> new EndpointStats()).issued++;
+        endpointStats.computeIfAbsent(endpoint, ignored -> new EndpointStats()).attemptStarted();
     }
 
     /** A try ended; util NaN if the answer told none. */
@@ -110,17 +110,17 @@
                         text.append("<replica><id>")
                                 .append(endpointIds.get(endpoint))
                                 .append("</id><issued>")
-                                .append(stats.issued)
+                                .append(stats.issued())
                                 .append("</issued><settled>")
-                                .append(stats.completed)
+                                .append(stats.completed())
                                 .append("</settled><voided>")
-                                .append(stats.failed)
+                                .append(stats.failed())
                                 .append("</voided><answer-ms>")
-                                .append(stats.responseMillis)
+                                .append(stats.responseMillis())
                                 .append("</answer-ms><util>")
-                                .append(stats.utilizationSum)
+                                .append(stats.utilizationSum())
                                 .append("</util><told>")
-                                .append(stats.utilizationReports)
+                                .append(stats.utilizationReports())
                                 .append("</told></replica>");
                     }
                 });
@@ -173,19 +173,19 @@
                                                                         .setPortValue(
                                                                                 endpoint
                                                                                         .getPort())))
-                                        .setTotalIssuedRequests(stats.issued)
-                                        .setTotalSuccessfulRequests(stats.completed)
-                                        .setTotalErrorRequests(stats.failed)
+                                        .setTotalIssuedRequests(stats.issued())
+                                        .setTotalSuccessfulRequests(stats.completed())
+                                        .setTotalErrorRequests(stats.failed())
                                         .addLoadMetricStats(
                                                 metric(
                                                         "util",
-                                                        stats.utilizationReports,
-                                                        stats.utilizationSum))
+                                                        stats.utilizationReports(),
+                                                        stats.utilizationSum()))
                                         .addLoadMetricStats(
                                                 metric(
                                                         "answer_ms",
-                                                        stats.completed,
-                                                        stats.responseMillis))));
+                                                        stats.completed(),
+                                                        stats.responseMillis()))));
         for (int requestClass = 0; requestClass < arrivals.length; requestClass++) {
             localityStats.addLoadMetricStats(
                     metric(
--- a/src/main/java/sprucelanding/simulation/loopback/SimulatedEndpoint.java
+++ b/src/main/java/sprucelanding/simulation/loopback/SimulatedEndpoint.java
@@ -55,7 +55,7 @@
     public final int zone;
     public final int kind;
     public final EndpointModel.Capacity capacity;
-    private final EndpointModel<Job> machine;
+    private final EndpointModel<Job> model;
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final List<String> requestClasses;
@@ -88,7 +88,7 @@
         this.kind = kind;
         this.address = address;
         this.capacity = capacity;
-        this.machine =
+        this.model =
                 new EndpointModel<>(
                         capacity,
                         new EndpointModel.JobListener<>() {
@@ -139,7 +139,7 @@
             return;
         }
         startedAt = coldStart ? EventLoop.nowMillis() : 0;
-        machine.start(startedAt, EventLoop.nowMillis());
+        model.start(startedAt, EventLoop.nowMillis());
         if (coldStart) {
             trace.record(
                     new TraceEvent.EndpointStarted(
@@ -162,7 +162,7 @@
         trace.record(new TraceEvent.EndpointStopped(EventLoop.nowMillis(), id));
         List.copyOf(connections).forEach(TcpConnection::reset);
         connections.clear();
-        machine.start(0, EventLoop.nowMillis());
+        model.start(0, EventLoop.nowMillis());
         failureShare = 0;
         ignoredZone = -1;
     }
@@ -170,14 +170,14 @@
     /** It takes txns and answers none. */
     public void setHung(boolean enabled) {
         advance();
-        machine.hung(enabled);
+        model.setHung(enabled);
         scheduleAdvance();
     }
 
     /** Its cores run so many times slower. */
     public void setSlowdown(double factor) {
         advance();
-        machine.setSlowdown(factor);
+        model.setSlowdown(factor);
         scheduleAdvance();
     }
 
@@ -186,16 +186,16 @@
         failureShare = share;
     }
 
-    /** Another program takes this share of the machine. */
+    /** Another program takes this share of the model. */
     public void setStolenShare(double share) {
         advance();
-        machine.setStolenShare(share);
+        model.setStolenShare(share);
         scheduleAdvance();
     }
 
     public void setPaused(boolean enabled) {
         advance();
-        machine.setPaused(enabled);
+        model.setPaused(enabled);
         scheduleAdvance();
     }
 
@@ -253,16 +253,16 @@
                 Locale.ROOT,
                 "TEXT cpu_utilization=%.3f, named_metrics.inflight=%d, "
                         + "named_metrics.latency_ms=%.1f",
-                machine.utilization(),
-                machine.inFlight(),
-                machine.meanServiceMillis());
+                model.utilization(),
+                model.inFlight(),
+                model.meanServiceMillis());
     }
 
     private void handleRequest(TcpConnection connection, HttpParser.Message message) {
         advance();
         if (message.targetOrStatus().equals("/probe")) {
-            if (machine.isResponsive()) {
-                machine.submit(
+            if (model.isResponsive()) {
+                model.submit(
                         new Job(connection, -1, 0, -1, 0, EventLoop.nowMillis()),
                         HEALTH_CHECK_WORK,
                         true,
@@ -283,20 +283,20 @@
         double now = EventLoop.nowMillis();
         trace.record(
                 new TraceEvent.AttemptSent(now, proxy, id, requestClass, requestId, attempt, work));
-        if (machine.hung()) {
+        if (model.isHung()) {
             return;
         }
         if (random.nextDouble() < failureShare) {
             connection.write(HttpParser.response(500, "endpoint-load-metrics", loadReport()));
             return;
         }
-        if (machine.isFull()) { // proof that it never ran
+        if (model.isFull()) { // proof that it never ran
             connection.write(
                     HttpParser.response(
                             503, "x-unrun", "1", "endpoint-load-metrics", loadReport()));
             return;
         }
-        machine.submit(
+        model.submit(
                 new Job(connection, requestClass, requestId, proxy, attempt, now),
                 work,
                 false,
@@ -305,13 +305,13 @@
     }
 
     private void advance() {
-        machine.advance(EventLoop.nowMillis());
+        model.advance(EventLoop.nowMillis());
     }
 
     private void respond(Job job, double now) {
         if (job.requestClass >= 0) {
             servedRequests++;
-            machine.recordServiceTime(now - job.arrivedAt);
+            model.recordServiceTime(now - job.arrivedAt);
         }
         job.connection.write(HttpParser.response(200, "endpoint-load-metrics", loadReport()));
     }
@@ -321,7 +321,7 @@
             nextAdvance.cancel();
             nextAdvance = null;
         }
-        double advanceAt = machine.nextEventAt(EventLoop.nowMillis());
+        double advanceAt = model.nextEventAt(EventLoop.nowMillis());
         if (advanceAt < Double.POSITIVE_INFINITY) {
             nextAdvance =
                     loop.scheduleAt(
--- a/src/main/java/sprucelanding/simulation/model/AdmissionGate.java
+++ b/src/main/java/sprucelanding/simulation/model/AdmissionGate.java
@@ -5,13 +5,44 @@
 import java.util.SplittableRandom;
 
 /**
- * A proxy's admission by level: a share of a product's txns, or a rate with a second's worth of
- * burst. Times in ms.
+ * Decides which requests a proxy admits: a share of a request class, or a rate by a token bucket
+ * that holds the tokens of one second.
  */
 public final class AdmissionGate {
-    private final Map<String, double[]> bucketsByClass = new HashMap<>();
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    /** Whether one more txn is let in. */
+    private final Map<String, TokenBucket> bucketsByClass = new HashMap<>();
+
+    /** A token bucket; its capacity is passed in, as it follows the rate. */
+    private static final class TokenBucket {
+        private double tokens;
+        private double refilledAt;
+
+        TokenBucket(double tokens, double now) {
+            this.tokens = tokens;
+            this.refilledAt = now;
+        }
+
+        boolean tryTake(double tokensPerSecond, double capacity, double now) {
+            tokens =
+                    Math.min(
+                            capacity,
+                            tokens + (now - refilledAt) * tokensPerSecond / MILLIS_PER_SECOND);
+            refilledAt = now;
+            if (tokens < 1) {
+                return false;
+            }
+            tokens--;
+            return true;
+        }
+    }
+
+    /**
+     * Whether one more request is admitted; draws once from random if there is a route.
+     *
+     * @param route the route of the request class; null admits everything
+     * @param now ms
+     */
     public boolean admits(String requestClass, Route route, double now, SplittableRandom random) {
         return route == null
                 || random.nextDouble() < route.admittedShare()
@@ -23,15 +54,9 @@
             return true;
         }
         double capacity = Math.max(1, requestsPerSecond);
-        double[] bucket =
+        TokenBucket bucket =
                 bucketsByClass.computeIfAbsent(
-                        requestClass, ignored -> new double[] {capacity, now});
-        bucket[0] = Math.min(capacity, bucket[0] + (now - bucket[1]) * requestsPerSecond / 1000);
-        bucket[1] = now;
-        if (bucket[0] < 1) {
-            return false;
-        }
-        bucket[0]--;
-        return true;
+                        requestClass, ignored -> new TokenBucket(capacity, now));
+        return bucket.tryTake(requestsPerSecond, capacity, now);
     }
 }
--- a/src/main/java/sprucelanding/simulation/model/ClientRetryPolicy.java
+++ b/src/main/java/sprucelanding/simulation/model/ClientRetryPolicy.java
@@ -1,15 +1,22 @@
 package sprucelanding.simulation.model;
 
 /**
- * How clients try again by themselves: a safe txn after any failure, others only with proof that
- * nothing ran.
+ * When clients retry a failed request: an idempotent one after any failure, others only with proof
+ * that it was not executed.
  *
- * @param most times after the first
- * @param pause ms before each, on average
+ * @param maxRetries retries after the first attempt
+ * @param meanDelayMillis ms before each retry, on average
  */
 public record ClientRetryPolicy(int maxRetries, double meanDelayMillis) {
+    private static final double MIN_DELAY_FACTOR = 0.5;
+
     /**
-     * @param took ms since the txn was first asked for
+     * Whether a failed attempt is followed by another.
+     *
+     * @param attempts attempts so far
+     * @param notExecuted there is proof that the request was not executed
+     * @param elapsedMillis ms since the request was first sent
+     * @param expiryMillis ms after which the client gives the request up
      */
     public boolean shouldRetry(
             int attempts,
@@ -22,8 +29,8 @@
                 && elapsedMillis + meanDelayMillis < expiryMillis;
     }
 
-    /** ms until the next, by a draw from 0 to 1. */
+    /** The ms until the next attempt, from a uniform draw in [0, 1). */
     public double delayMillis(double drawn) {
-        return meanDelayMillis * (0.5 + drawn);
+        return meanDelayMillis * (MIN_DELAY_FACTOR + drawn);
     }
 }
--- a/src/main/java/sprucelanding/simulation/model/EndpointModel.java
+++ b/src/main/java/sprucelanding/simulation/model/EndpointModel.java
@@ -6,20 +6,24 @@
 import java.util.PriorityQueue;
 
 /**
- * What a replica can do: cores shared by the jobs that run, slots, a waiting room, a cold start,
- * and what slows it. The host calls advance before anything else at a time, and again at next. Work
- * is ms on a core of speed 1; times are ms.
+ * Models an endpoint's capacity: cores shared by the running jobs, slots, a bounded queue, a
+ * warm-up after its start, and faults that slow it. The host calls {@link #advance} before anything
+ * else at a time, and again at {@link #nextEventAt}. Work is in ms on a core of speed 1; times are
+ * ms.
+ *
+ * @param <J> a job of the host
  */
 public final class EndpointModel<J> {
     /**
-     * What it can do.
+     * The capacity of an endpoint.
      *
-     * @param speed of a core, 1 being usual
+     * @param cores cores
+     * @param speed speed of a core, 1 being usual
      * @param slots jobs that run at a time
-     * @param room jobs that wait
-     * @param coldFrom share of its speed right after a start
-     * @param warmAfter ms until it has all of it
-     * @param connections it accepts
+     * @param queueCapacity jobs that wait
+     * @param coldSpeedShare share of its speed right after a start
+     * @param warmUpMillis ms until it has its full speed
+     * @param maxConnections connections that it accepts
      */
     public record Capacity(
             int cores,
@@ -30,10 +34,16 @@
             double warmUpMillis,
             int maxConnections) {}
 
-    /** Told when a job begins to run, and when it is done. */
+    /**
+     * Notified when a job begins to run, and when it is done.
+     *
+     * @param <J> a job of the host
+     */
     public interface JobListener<J> {
+        /** A job left the queue, or needed not wait. */
         void onStarted(J job, double now);
 
+        /** All of a job's work is done. */
         void onCompleted(J job, double now);
     }
 
@@ -42,34 +52,48 @@
         final double finishWork;
         final long sequence;
 
-        RunningJob(J job, double end, long order) {
+        RunningJob(J job, double finishWork, long sequence) {
             this.job = job;
-            this.finishWork = end;
-            this.sequence = order;
+            this.finishWork = finishWork;
+            this.sequence = sequence;
         }
 
         @Override
         public int compareTo(RunningJob<J> other) {
-            int byEnd = Double.compare(finishWork, other.finishWork);
-            return byEnd != 0 ? byEnd : Long.compare(sequence, other.sequence);
+            int byFinish = Double.compare(finishWork, other.finishWork);
+            return byFinish != 0 ? byFinish : Long.compare(sequence, other.sequence);
+        }
+
+        @Override
+        public boolean equals(Object other) {
+            return this == other;
+        }
+
+        @Override
+        public int hashCode() {
+            return System.identityHashCode(this);
         }
     }
 
     private record QueuedJob<J>(J job, double work) {}
 
     private static final double UTILIZATION_WINDOW_MILLIS = 1000;
-    private static final double SPEED_UPDATE_MILLIS =
-            50; // ms between looks while its speed changes
+
+    /** The ms between updates while its speed changes. */
+    private static final double SPEED_UPDATE_MILLIS = 50;
+
     private static final double WORK_EPSILON = 1e-6;
+    private static final double MAX_STOLEN_SHARE = 0.99;
+    private static final double SERVICE_TIME_SMOOTHING = 0.1;
 
-    public final Capacity capacity;
+    private final Capacity capacity;
     private final JobListener<J> listener;
     private final PriorityQueue<RunningJob<J>> runningJobs = new PriorityQueue<>();
     private final ArrayDeque<QueuedJob<J>> queuedJobs = new ArrayDeque<>();
     private double startedAt;
     private double advancedAt;
 
-    /** Work that a job which ran all the time has got done. */
+    /** Work done of a job that ran since the start. */
     private double completedWork;
 
     private long nextSequence;
@@ -80,13 +104,22 @@
     private double stolenShare;
     private boolean paused;
 
+    /** Creates a model that has not been started. */
     public EndpointModel(Capacity capacity, JobListener<J> listener) {
         this.capacity = capacity;
         this.listener = listener;
     }
 
+    /** Its capacity. */
+    public Capacity capacity() {
+        return capacity;
+    }
+
     /**
-     * @param since when its process began, 0 for long ago
+     * Starts it anew: without jobs and faults.
+     *
+     * @param processStartedAt when its process started, 0 for long ago: it has warmed up
+     * @param now ms
      */
     public void start(double processStartedAt, double now) {
         runningJobs.clear();
@@ -101,59 +134,72 @@
         paused = false;
     }
 
-    /** It takes jobs and does none. */
-    public void hung(boolean enabled) {
+    /** While it hangs, it takes jobs and runs none. */
+    public void setHung(boolean enabled) {
         hung = enabled;
     }
 
+    /** Its cores run slower by this factor; below 1 counts as 1. */
     public void setSlowdown(double factor) {
         slowdown = Math.max(1, factor);
     }
 
-    /** Another program takes this share of the machine. */
+    /** Another program takes this share of its cores. */
     public void setStolenShare(double share) {
-        stolenShare = Math.min(0.99, share);
+        stolenShare = Math.min(MAX_STOLEN_SHARE, share);
     }
 
+    /** While it is paused, no job makes progress. */
     public void setPaused(boolean enabled) {
         paused = enabled;
     }
 
-    public boolean hung() {
+    /** Whether it hangs. */
+    public boolean isHung() {
         return hung;
     }
 
+    /** Whether it neither hangs nor is paused. */
     public boolean isResponsive() {
         return !hung && !paused;
     }
 
+    /** When its process started; 0 for long ago. */
     public double startedAt() {
         return startedAt;
     }
 
+    /** The share of busy cores, smoothed, from 0 to 1. */
     public double utilization() {
         return Math.min(1, utilization);
     }
 
+    /** Jobs that run or wait. */
     public int inFlight() {
         return runningJobs.size() + queuedJobs.size();
     }
 
-    /** ms from a job's coming to its end, smoothed. */
+    /** The ms from a job's arrival to its end, smoothed. */
     public double meanServiceMillis() {
         return meanServiceMillis;
     }
 
-    /** A job was done, so long after it came. */
+    /** Counts a job that ended so many ms after its arrival. */
     public void recordServiceTime(double millis) {
-        meanServiceMillis += (millis - meanServiceMillis) * 0.1;
+        meanServiceMillis += (millis - meanServiceMillis) * SERVICE_TIME_SMOOTHING;
     }
 
+    /** Whether its queue is full. */
     public boolean isFull() {
         return queuedJobs.size() >= capacity.queueCapacity;
     }
 
-    /** A job comes; a small one, as a probe, needs no slot. */
+    /**
+     * Takes a job.
+     *
+     * @param work ms on a core of speed 1
+     * @param needsNoSlot it runs at once, as a health check does
+     */
     public void submit(J job, double work, boolean needsNoSlot, double now) {
         if (needsNoSlot || runningJobs.size() < capacity.slots) {
             startJob(job, work, now);
@@ -175,7 +221,7 @@
                         + (1 - capacity.coldSpeedShare) * age / capacity.warmUpMillis;
     }
 
-    /** ms of work a ms that it can do at the moment, if enough jobs run. */
+    /** The ms of work per ms that it can do at this time, if enough jobs run. */
     public double maxWorkRate(double now) {
         return hung || paused
                 ? 0
@@ -186,7 +232,7 @@
                         * warmUpFactor(now);
     }
 
-    /** ms of work a ms that one running job gets done. */
+    /** The ms of work per ms that one running job gets done. */
     private double workRatePerJob(double now) {
         if (hung || paused || runningJobs.isEmpty()) {
             return 0;
@@ -198,7 +244,7 @@
                 * Math.min(1, cores / runningJobs.size());
     }
 
-    /** Brings it up to now: jobs end, and others begin. */
+    /** Brings it up to date: jobs end, and queued ones start. */
     public void advance(double now) {
         double elapsedMillis = now - advancedAt;
         if (elapsedMillis <= 0) {
@@ -228,7 +274,7 @@
         }
     }
 
-    /** When to advance next; infinite if nothing would come of it. */
+    /** When to advance it next; infinite if no job would end. */
     public double nextEventAt(double now) {
         double rate = workRatePerJob(now);
         if (rate <= 0) {
--- a/src/main/java/sprucelanding/simulation/model/LocalOutliers.java
+++ b/src/main/java/sprucelanding/simulation/model/LocalOutliers.java
@@ -4,8 +4,10 @@
 import java.util.Map;
 
 /**
- * Replicas at which a proxy's own tries failed several times in a row, and which it keeps away from
- * for a while.
+ * A proxy's own outlier detection: endpoints at which its attempts failed several times in a row
+ * are avoided for a while.
+ *
+ * @param <K> identifies an endpoint
  */
 public final class LocalOutliers<K> {
     private final int failureThreshold;
@@ -14,19 +16,23 @@
     private final Map<K, Double> avoidedUntil = new HashMap<>();
 
     /**
-     * @param after failures in a row; 0: never
-     * @param lasts ms
+     * Creates a detector that avoids no endpoint yet.
+     *
+     * @param failureThreshold failures in a row after which an endpoint is avoided; 0: never
+     * @param durationMillis ms for which it is avoided
      */
-    public LocalOutliers(int after, double durationMillis) {
-        this.failureThreshold = after;
+    public LocalOutliers(int failureThreshold, double durationMillis) {
+        this.failureThreshold = failureThreshold;
         this.durationMillis = durationMillis;
     }
 
+    /** Whether an endpoint is avoided at this time. */
     public boolean isAvoided(K endpoint, double now) {
         Double end = avoidedUntil.get(endpoint);
         return end != null && now < end;
     }
 
+    /** Counts the result of an attempt that ended at this time. */
     public void attemptEnded(K endpoint, boolean succeeded, double now) {
         if (succeeded) {
             consecutiveFailures.remove(endpoint);
--- a/src/main/java/sprucelanding/simulation/model/ProxyTables.java
+++ b/src/main/java/sprucelanding/simulation/model/ProxyTables.java
@@ -12,38 +12,43 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What a proxy goes by: standing lines until it was told more, then clusters, their lines, and
- * routes by product.
+ * A proxy's routing tables: static entries until it is configured, then clusters with their entries
+ * and routes by request class. Those who fill the tables do so through the public collections.
+ *
+ * @param <K> identifies an endpoint
  */
 public final class ProxyTables<K> {
-    /** How a proxy picks: by weight alone, in turn, or the less busy of two. */
+    /** How a proxy picks: by weight, by smooth weighted round robin, or the less busy of two. */
     public enum Pick {
         WEIGHTED,
         ROUND,
         TWO
     }
 
+    /** The entries of a proxy that has no routes. */
     public final List<WeightedEndpoint<K>> staticEntries = new ArrayList<>();
 
-    /** Lines by cluster and resource name; a cluster without lines is known too. */
+    /** Entries by cluster and resource name; a cluster may have none. */
     public final Map<String, Map<String, WeightedEndpoint<K>>> clusters = new LinkedHashMap<>();
 
-    /** Versions told for clusters, endpoints and routes. */
+    /** Versions received of clusters, assignments and routes, by type and name. */
     public final Map<String, String> versions = new HashMap<>();
 
+    /** Routes by request class; replaced as a whole. */
     public Map<String, Route> routes = Map.of();
 
+    /** Draws after which a pick by cached weights falls back to looking at every entry. */
     private static final int MAX_DRAWS = 8;
 
-    /** Lines that may be picked, with the sums of their weights up to each. */
+    /** Healthy entries, with the sums of their weights up to and including each. */
     private record CumulativeWeights<K>(
             List<WeightedEndpoint<K>> entries, double[] cumulativeSums) {}
 
     private Map<String, CumulativeWeights<K>> weightsByClass = Map.of();
 
     /**
-     * To be called after changes by those who pick far more often than tables change; else picks
-     * look at every line.
+     * Caches the weights by request class. Callers that pick far more often than tables change call
+     * it after each change; without it every pick looks at every entry.
      */
     public void rebuildWeights() {
         Map<String, CumulativeWeights<K>> rebuilt = new HashMap<>();
@@ -53,46 +58,25 @@
                         rebuilt.put(
                                 requestClass,
                                 byCluster.computeIfAbsent(
-                                        route.cluster(),
-                                        cluster -> {
-                                            List<WeightedEndpoint<K>> healthy =
-                                                    clusters
-                                                            .getOrDefault(cluster, Map.of())
-                                                            .values()
-                                                            .stream()
-                                                            .filter(entry -> entry.healthy)
-                                                            .toList();
-                                            double[] cumulativeSums = new double[healthy.size()];
-                                            double total = 0;
-                                            for (int i = 0; i < cumulativeSums.length; i++) {
-                                                total += healthy.get(i).weight;
-                                                cumulativeSums[i] = total;
-                                            }
-                                            return new CumulativeWeights<>(healthy, cumulativeSums);
-                                        })));
+                                        route.cluster(), this::cumulativeWeights)));
         weightsByClass = rebuilt;
     }
 
-    /** One that is not avoided, drawn by weight; null if none came up in a few draws. */
-    private WeightedEndpoint<K> pickFromWeights(
-            CumulativeWeights<K> weights,
-            Predicate<WeightedEndpoint<K>> avoided,
-            SplittableRandom random) {
-        int count = weights.cumulativeSums.length;
-        for (int i = 0; count > 0 && i < MAX_DRAWS; i++) {
-            int index =
-                    Arrays.binarySearch(
-                            weights.cumulativeSums,
-                            random.nextDouble() * weights.cumulativeSums[count - 1]);
-            WeightedEndpoint<K> entry =
-                    weights.entries.get(Math.min(count - 1, index < 0 ? -index - 1 : index + 1));
-            if (!avoided.test(entry)) {
-                return entry;
-            }
+    private CumulativeWeights<K> cumulativeWeights(String cluster) {
+        List<WeightedEndpoint<K>> healthy =
+                clusters.getOrDefault(cluster, Map.of()).values().stream()
+                        .filter(entry -> entry.healthy)
+                        .toList();
+        double[] cumulativeSums = new double[healthy.size()];
+        double total = 0;
+        for (int i = 0; i < cumulativeSums.length; i++) {
+            total += healthy.get(i).weight;
+            cumulativeSums[i] = total;
         }
-        return null;
+        return new CumulativeWeights<>(healthy, cumulativeSums);
     }
 
+    /** The entries of a request class; the static ones if there are no routes at all. */
     public Collection<WeightedEndpoint<K>> entries(String requestClass) {
         Route route = routes.get(requestClass);
         if (route == null) {
@@ -101,6 +85,7 @@
         return clusters.getOrDefault(route.cluster(), Map.of()).values();
     }
 
+    /** How many healthy entries a request class has. */
     public int pickableCount(String requestClass) {
         int count = 0;
         for (WeightedEndpoint<K> entry : entries(requestClass)) {
@@ -110,8 +95,10 @@
     }
 
     /**
-     * A line, none of those that are avoided unless there are no others; null if there is none at
-     * all.
+     * Picks a healthy entry; an avoided one only if there are no others.
+     *
+     * @param openAttempts attempts in flight at an entry's endpoint
+     * @return null if there is no healthy entry
      */
     public WeightedEndpoint<K> pick(
             String requestClass,
@@ -127,48 +114,78 @@
                             ? first
                             : pickFromWeights(weights, avoided, random);
             if (second != null) {
-                return openAttempts.applyAsInt(first) <= openAttempts.applyAsInt(second)
-                        ? first
-                        : second;
-            }
-        }
-        List<WeightedEndpoint<K>> candidates = new ArrayList<>();
-        double total = 0;
-        for (WeightedEndpoint<K> entry : entries(requestClass)) {
-            if (entry.healthy && !avoided.test(entry)) {
-                candidates.add(entry);
-                total += entry.weight;
+                return lessBusy(first, second, openAttempts);
             }
         }
+        List<WeightedEndpoint<K>> candidates = candidates(requestClass, avoided);
         if (candidates.isEmpty()) {
-            for (WeightedEndpoint<K> entry : entries(requestClass)) {
-                if (entry.healthy) {
-                    candidates.add(entry);
-                    total += entry.weight;
-                }
-            }
+            candidates = candidates(requestClass, ignored -> false);
         }
         if (candidates.isEmpty()) {
             return null;
         }
-        switch (pick) {
-            case WEIGHTED:
-                return pickByWeight(candidates, total, random);
-            case TWO:
+        double total = 0;
+        for (WeightedEndpoint<K> entry : candidates) {
+            total += entry.weight;
+        }
+        return switch (pick) {
+            case WEIGHTED -> pickByWeight(candidates, total, random);
+            case TWO -> {
                 WeightedEndpoint<K> first = pickByWeight(candidates, total, random);
                 WeightedEndpoint<K> second = pickByWeight(candidates, total, random);
-                return openAttempts.applyAsInt(first) <= openAttempts.applyAsInt(second)
-                        ? first
-                        : second;
-            default: // smooth weighted round robin
-                WeightedEndpoint<K> best = null;
-                for (WeightedEndpoint<K> entry : candidates) {
-                    entry.credit += entry.weight;
-                    best = best == null || entry.credit > best.credit ? entry : best;
-                }
-                best.credit -= total;
-                return best;
+                yield lessBusy(first, second, openAttempts);
+            }
+            case ROUND -> pickRoundRobin(candidates, total);
+        };
+    }
+
+    /** An entry that is not avoided, drawn by weight; null if none came up in a few draws. */
+    private WeightedEndpoint<K> pickFromWeights(
+            CumulativeWeights<K> weights,
+            Predicate<WeightedEndpoint<K>> avoided,
+            SplittableRandom random) {
+        int count = weights.cumulativeSums.length;
+        for (int i = 0; count > 0 && i < MAX_DRAWS; i++) {
+            int index =
+                    Arrays.binarySearch(
+                            weights.cumulativeSums,
+                            random.nextDouble() * weights.cumulativeSums[count - 1]);
+            WeightedEndpoint<K> entry =
+                    weights.entries.get(Math.min(count - 1, index < 0 ? -index - 1 : index + 1));
+            if (!avoided.test(entry)) {
+                return entry;
+            }
+        }
+        return null;
+    }
+
+    private List<WeightedEndpoint<K>> candidates(
+            String requestClass, Predicate<WeightedEndpoint<K>> avoided) {
+        List<WeightedEndpoint<K>> candidates = new ArrayList<>();
+        for (WeightedEndpoint<K> entry : entries(requestClass)) {
+            if (entry.healthy && !avoided.test(entry)) {
+                candidates.add(entry);
+            }
+        }
+        return candidates;
+    }
+
+    private static <K> WeightedEndpoint<K> lessBusy(
+            WeightedEndpoint<K> first,
+            WeightedEndpoint<K> second,
+            ToIntFunction<WeightedEndpoint<K>> openAttempts) {
+        return openAttempts.applyAsInt(first) <= openAttempts.applyAsInt(second) ? first : second;
+    }
+
+    private static <K> WeightedEndpoint<K> pickRoundRobin(
+            List<WeightedEndpoint<K>> candidates, double total) {
+        WeightedEndpoint<K> best = null;
+        for (WeightedEndpoint<K> entry : candidates) {
+            entry.credit += entry.weight;
+            best = best == null || entry.credit > best.credit ? entry : best;
         }
+        best.credit -= total;
+        return best;
     }
 
     private static <K> WeightedEndpoint<K> pickByWeight(
--- a/src/main/java/sprucelanding/simulation/model/Route.java
+++ b/src/main/java/sprucelanding/simulation/model/Route.java
@@ -1,14 +1,18 @@
 package sprucelanding.simulation.model;
 
 /**
- * One product's route as a proxy was told: its table, the share or the rate let in, and when it
- * tries again.
+ * The route of one request class as a proxy was configured.
+ *
+ * @param cluster the name of its table
+ * @param admittedShare share of requests admitted, from 0 to 1
+ * @param requestsPerSecond rate admitted; infinite for no limit
+ * @param retry when the proxy retries
  */
 public record Route(
         String cluster, double admittedShare, double requestsPerSecond, RetryMode retry) {
     /**
-     * When a try that failed is followed by another: never, only with proof that nothing ran, or
-     * always.
+     * When a proxy retries a failed attempt: never, only with proof that the request was not
+     * executed, or always. The names are those of the NETCONF configuration, in upper case.
      */
     public enum RetryMode {
         NEVER,
@@ -17,15 +21,17 @@
     }
 
     private static final int MAX_ATTEMPTS = 2;
-    private static final double MIN_REMAINING_MILLIS = 10; // ms that must be left for another try
+
+    /** The ms that must remain for another attempt. */
+    private static final double MIN_REMAINING_MILLIS = 10;
 
     /**
-     * Whether a try that failed is followed by another; a proxy that was told no route tries no
-     * more.
+     * Whether a failed attempt is followed by another; a proxy without a route never retries.
      *
      * @param route null for none
-     * @param unrun there is proof that nothing ran
-     * @param left ms until the txn is given up
+     * @param attempts attempts so far
+     * @param notExecuted there is proof that the request was not executed
+     * @param remainingMillis ms until the request is given up
      */
     public static boolean shouldRetry(
             Route route, int attempts, boolean notExecuted, double remainingMillis) {
--- a/src/test/java/sprucelanding/simulation/model/EndpointModelTest.java
+++ b/src/test/java/sprucelanding/simulation/model/EndpointModelTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a machine does with its jobs; times are ms of the story. */
+/** Jobs on the cores, slots and queue of an endpoint model; times are ms. */
 class EndpointModelTest {
     private final List<String> log = new ArrayList<>();
-    private final EndpointModel<String> machine =
+    private final EndpointModel<String> model =
             new EndpointModel<>(
                     new EndpointModel.Capacity(2, 1, 3, 1, 0.5, 1000, 10),
                     new EndpointModel.JobListener<>() {
@@ -27,22 +27,22 @@
 
     private void runUntil(double from, double until) {
         double now = from;
-        for (double nextEvent = machine.nextEventAt(now);
+        for (double nextEvent = model.nextEventAt(now);
                 nextEvent <= until;
-                nextEvent = machine.nextEventAt(now)) {
+                nextEvent = model.nextEventAt(now)) {
             now = nextEvent;
-            machine.advance(now);
+            model.advance(now);
         }
-        machine.advance(until);
+        model.advance(until);
     }
 
     @Test
     void jobsShareCoresAndExcessJobWaitsForSlot() {
-        machine.start(0, 100);
+        model.start(0, 100);
         for (String job : List.of("a", "b", "c", "d")) {
-            machine.submit(job, 20, false, 100);
+            model.submit(job, 20, false, 100);
         }
-        assertTrue(machine.isFull());
+        assertTrue(model.isFull());
         runUntil(100, 200);
         // three share two cores: 30 ms for 20 ms of work; then d is alone
         assertEquals(
@@ -60,13 +60,13 @@
 
     @Test
     void coldEndpointStartsSlowAndHungEndpointMakesNoProgress() {
-        machine.start(100, 100);
-        machine.submit("cold", 25, false, 100);
+        model.start(100, 100);
+        model.submit("cold", 25, false, 100);
         runUntil(100, 145);
-        machine.hung(true);
-        assertEquals(Double.POSITIVE_INFINITY, machine.nextEventAt(145));
-        machine.advance(900);
-        machine.hung(false);
+        model.setHung(true);
+        assertEquals(Double.POSITIVE_INFINITY, model.nextEventAt(145));
+        model.advance(900);
+        model.setHung(false);
         runUntil(900, 1000);
         assertEquals(
                 1,
@@ -76,10 +76,10 @@
 
     @Test
     void stolenShareReducesCapacity() {
-        machine.start(0, 0.5);
-        machine.setStolenShare(0.5);
-        machine.submit("a", 20, false, 1);
-        machine.submit("b", 20, false, 1);
+        model.start(0, 0.5);
+        model.setStolenShare(0.5);
+        model.submit("a", 20, false, 1);
+        model.submit("b", 20, false, 1);
         runUntil(1, 100);
         assertEquals(List.of("a began 1", "b began 1", "a done 41", "b done 41"), log);
     }
--- a/src/test/java/sprucelanding/simulation/model/ProxyTablesTest.java
+++ b/src/test/java/sprucelanding/simulation/model/ProxyTablesTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a plain proxy picks. */
+/** Which entries a proxy picks from its tables. */
 class ProxyTablesTest {
     private final ProxyTables<String> tables = new ProxyTables<>();
     private final SplittableRandom random = new SplittableRandom(1);
