--- /dev/null
+++ b/src/main/java/sprucelanding/simulation/emulator/CapturedDemand.java
@@ -0,0 +1,35 @@
+package sprucelanding.simulation.emulator;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import sprucelanding.replay.estimate.EstimatedRequest;
+import sprucelanding.simulation.scenario.Scenario;
+
+/** The demand of one proxy's clients as captured; work that is not known is drawn. */
+final class CapturedDemand implements Demand {
+    private final List<EstimatedRequest> requests;
+    private final Scenario scenario;
+    private final SplittableRandom workRandom;
+    private int nextIndex;
+
+    CapturedDemand(List<EstimatedRequest> requests, Scenario scenario, long seed) {
+        this.requests = requests;
+        this.scenario = scenario;
+        this.workRandom = new SplittableRandom(seed);
+    }
+
+    @Override
+    public Arrival nextArrival(double afterMillis, double factor) {
+        if (nextIndex >= requests.size()) {
+            return null;
+        }
+        EstimatedRequest request = requests.get(nextIndex);
+        nextIndex++;
+        double work =
+                Double.isNaN(request.workMillis())
+                        ? -Math.log(1 - workRandom.nextDouble())
+                                * scenario.products().get(request.requestClass()).work()
+                        : request.workMillis();
+        return new Arrival(Math.max(0, request.at()), request.requestClass(), work);
+    }
+}
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedClients.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedClients.java
@@ -6,20 +6,32 @@
 import sprucelanding.simulation.scenario.Scenario;
 
 /**
- * One proxy's clients, an open loop: they try again by themselves, a safe txn after any failure,
- * others only with proof that nothing ran, and give up at expiry.
+ * The clients of one proxy, an open loop: arrivals do not wait for responses. Clients retry by a
+ * {@link ClientRetryPolicy} and give a request up at its expiry.
  */
 final class EmulatedClients {
-    private final class ClientRequest implements EmulatedProxy.ResponseListener {
-        final long id = fleet.nextRequestId();
-        final int requestClass;
-        final double work;
-        final double startedAt = fleet.clock.now();
+    private static final int OK = 200;
+    private static final int UNAVAILABLE = 503;
+
+    /** The ms that must remain for another attempt. */
+    private static final double MIN_REMAINING_MILLIS = 1;
+
+    /** One request of a client, through its attempts. */
+    private final class ClientRequest implements RequestForwarder.ResponseListener {
+        private final long id = fleet.nextRequestId();
+        private final int requestClass;
+        private final double work;
+        private final double startedAt = fleet.clock.now();
         private final VirtualClock.ScheduledTask expiry;
-        int attempts;
-        int latestAttempt;
-        boolean ended;
-        boolean declined;
+        private int attempts;
+
+        /** Responses of earlier attempts come too late. */
+        private int latestAttempt;
+
+        private boolean ended;
+
+        /** Whether the last failure was a status 503. */
+        private boolean declined;
 
         ClientRequest(int requestClass, double work) {
             this.requestClass = requestClass;
@@ -28,11 +40,10 @@
                     new TraceEvent.RequestArrived(startedAt, proxy.number, requestClass, id, work));
             expiry =
                     fleet.clock.scheduleAfter(
-                            requestClassSpec().expiry(),
-                            () -> complete(TraceEvent.RequestOutcome.VOIDED));
+                            settings().expiry(), () -> complete(TraceEvent.RequestOutcome.VOIDED));
         }
 
-        private Scenario.RequestClassSettings requestClassSpec() {
+        private Scenario.RequestClassSettings settings() {
             return fleet.scenario.products().get(requestClass);
         }
 
@@ -42,12 +53,9 @@
             }
             attempts++;
             double now = fleet.clock.now();
-            double remainingMillis = requestClassSpec().expiry() - (now - startedAt);
-            if (remainingMillis <= 1) {
-                complete(
-                        declined
-                                ? TraceEvent.RequestOutcome.DECLINED
-                                : TraceEvent.RequestOutcome.VOIDED);
+            double remainingMillis = settings().expiry() - (now - startedAt);
+            if (remainingMillis <= MIN_REMAINING_MILLIS) {
+                complete(failureOutcome());
                 return;
             }
             int attempt = ++latestAttempt;
@@ -63,8 +71,7 @@
                     now
                             + Math.min(
                                     remainingMillis,
-                                    fleet.scenario.clients().tryShare()
-                                            * requestClassSpec().expiry()));
+                                    fleet.scenario.clients().tryShare() * settings().expiry()));
         }
 
         @Override
@@ -73,30 +80,31 @@
                 return;
             }
             double elapsedMillis = fleet.clock.now() - startedAt;
-            if (status == 200) {
+            if (status == OK) {
                 complete(
-                        elapsedMillis <= requestClassSpec().sla()
+                        elapsedMillis <= settings().sla()
                                 ? TraceEvent.RequestOutcome.IN_TIME
                                 : TraceEvent.RequestOutcome.LATE);
                 return;
             }
-            declined = status == 503;
+            declined = status == UNAVAILABLE;
             if (retryPolicy.shouldRetry(
                     attempts,
                     fleet.isIdempotent(requestClass),
                     notExecuted,
                     elapsedMillis,
-                    requestClassSpec().expiry())) {
+                    settings().expiry())) {
                 fleet.clock.scheduleAfter(
                         retryPolicy.delayMillis(retryRandom.nextDouble()), this::send);
             } else {
-                complete(
-                        declined
-                                ? TraceEvent.RequestOutcome.DECLINED
-                                : TraceEvent.RequestOutcome.VOIDED);
+                complete(failureOutcome());
             }
         }
 
+        private TraceEvent.RequestOutcome failureOutcome() {
+            return declined ? TraceEvent.RequestOutcome.DECLINED : TraceEvent.RequestOutcome.VOIDED;
+        }
+
         private void complete(TraceEvent.RequestOutcome outcome) {
             if (!ended) {
                 ended = true;
@@ -131,16 +139,20 @@
     }
 
     private void scheduleNext(double afterMillis) {
-        Demand.Arrival arrival = demand.nextArrival(afterMillis - fleet.startsAt(), fleet.rate());
-        if (arrival != null && arrival.at() + fleet.startsAt() <= fleet.endsAt()) {
-            fleet.clock.schedule(
-                    arrival.at() + fleet.startsAt(),
-                    () -> {
-                        if (arrival.requestClass() >= 0) {
-                            new ClientRequest(arrival.requestClass(), arrival.work()).send();
-                        }
-                        scheduleNext(arrival.at() + fleet.startsAt());
-                    });
+        double startsAt = fleet.startsAt();
+        Demand.Arrival arrival =
+                demand.nextArrival(afterMillis - startsAt, fleet.requestRateFactor());
+        if (arrival == null || arrival.at() + startsAt > fleet.endsAt()) {
+            return;
         }
+        double arrivesAt = arrival.at() + startsAt;
+        fleet.clock.schedule(
+                arrivesAt,
+                () -> {
+                    if (!arrival.isEmpty()) {
+                        new ClientRequest(arrival.requestClass(), arrival.work()).send();
+                    }
+                    scheduleNext(arrivesAt);
+                });
     }
 }
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedDiscovery.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedDiscovery.java
@@ -10,9 +10,16 @@
 import sprucelanding.control.discovery.ListedEndpoint;
 import sprucelanding.simulation.rules.TraceEvent;
 
-/** The roster: what it learns it tells to all governors that watch, maybe late. */
+/**
+ * Service discovery on virtual time: sends the full endpoint list to governors that begin to watch
+ * and then each change, with a delay that a fault can set.
+ */
 final class EmulatedDiscovery {
     private static final double REOPEN_MILLIS = 500;
+
+    /** The host of all endpoints: addresses do not matter here, but must be distinct. */
+    private static final String HOST = "10.0.0.1";
+
     private final EmulatedFleet fleet;
     private final Map<Long, ListedEndpoint> entries = new LinkedHashMap<>();
     private long version = 1;
@@ -22,14 +29,15 @@
         this.fleet = fleet;
     }
 
+    /** Updates are scheduled so many ms later from now on. */
     void setDelay(double millis) {
         delayMillis = millis;
     }
 
-    /** A governor begins to watch: it is told all. */
+    /** A governor begins to watch: it gets the full list. */
     void open(EmulatedGovernor governor) {
         fleet.clock.scheduleAfter(
-                2 * EmulatedFleet.HOP_MILLIS,
+                2 * EmulatedNetwork.HOP_MILLIS,
                 () -> {
                     if (!governor.isAlive()) {
                         return;
@@ -64,46 +72,48 @@
                 EndpointList.formatUpdate(version, complete, entries, fleet.zones, fleet.kinds));
     }
 
+    /** Sets the state of endpoints after a time. */
     void scheduleUpdate(
-            List<EmulatedEndpoint> endpoints, ListedEndpoint.State stage, double afterMillis) {
+            List<EmulatedEndpoint> endpoints, ListedEndpoint.State state, double afterMillis) {
         if (afterMillis + delayMillis > 0) {
-            fleet.clock.scheduleAfter(afterMillis + delayMillis, () -> update(endpoints, stage));
+            fleet.clock.scheduleAfter(afterMillis + delayMillis, () -> update(endpoints, state));
         } else {
-            update(endpoints, stage);
+            update(endpoints, state);
         }
     }
 
-    private void update(List<EmulatedEndpoint> endpoints, ListedEndpoint.State stage) {
+    private void update(List<EmulatedEndpoint> endpoints, ListedEndpoint.State state) {
         List<ListedEndpoint> changes = new ArrayList<>();
         for (EmulatedEndpoint endpoint : endpoints) {
             ListedEndpoint entry =
                     new ListedEndpoint(
                             endpoint.id,
-                            "10.0.0.1",
+                            HOST,
                             1 + endpoint.number,
                             endpoint.zone,
                             endpoint.kind,
                             1,
                             endpoint.startedAt(),
-                            stage);
+                            state);
             ListedEndpoint previous =
-                    stage == ListedEndpoint.State.GONE
+                    state == ListedEndpoint.State.GONE
                             ? entries.remove(endpoint.id)
                             : entries.put(endpoint.id, entry);
-            if (stage != ListedEndpoint.State.GONE || previous != null) {
+            if (state != ListedEndpoint.State.GONE || previous != null) {
                 changes.add(entry);
             }
         }
         if (!changes.isEmpty()) {
             version++;
-            fleet.governorNodes.stream()
+            fleet.governors.stream()
                     .filter(governor -> governor.isAlive() && governor.watchesDiscovery())
                     .forEach(governor -> send(governor, changes, false));
         }
     }
 
+    /** It restarts: all watches fail, and are opened anew. */
     void restart() {
-        fleet.governorNodes.stream()
+        fleet.governors.stream()
                 .filter(governor -> governor.isAlive() && governor.watchesDiscovery())
                 .forEach(
                         governor -> {
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedEndpoint.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedEndpoint.java
@@ -5,22 +5,39 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
 import sprucelanding.simulation.model.EndpointModel;
 import sprucelanding.simulation.rules.TraceEvent;
 
-/** A replica. */
+/**
+ * An endpoint on virtual time: an {@link EndpointModel} with connections and faults. It responds
+ * with status 200 when the work is done, 500 for an injected failure, or 503 with proof that
+ * nothing was executed when its queue is full; each response reports its utilization.
+ */
 final class EmulatedEndpoint {
-    /** Who asked, and is answered: 200 with a load, 500, or 503 with proof that nothing ran. */
+    /** Who sent a request or a health check. */
     interface ResponseListener {
+        /**
+         * The response arrived.
+         *
+         * @param utilization share of busy cores, from 0 to 1
+         */
         void onResponse(int status, boolean notExecuted, double utilization);
 
         /** The connection broke. */
         void onConnectionBroken();
     }
 
-    private static final double HEALTH_CHECK_WORK = 2;
+    /** As request class of a job: a health check. */
+    private static final int HEALTH_CHECK = -1;
 
-    /** A try that runs or waits; product -1 is a probe. */
+    private static final int NO_PROXY = -1;
+    private static final int NO_ZONE = -1;
+    private static final int OK = 200;
+    private static final int INTERNAL_ERROR = 500;
+    private static final int UNAVAILABLE = 503;
+
+    /** An attempt or a health check that runs or waits. */
     private record Job(
             ResponseListener listener,
             int requestClass,
@@ -38,68 +55,51 @@
     private final EndpointModel<Job> model;
     private final SplittableRandom random;
 
-    /** Those whose connections are in use. */
+    /** Those whose requests are in flight. */
     private final Set<ResponseListener> pendingListeners = new LinkedHashSet<>();
 
     private VirtualClock.ScheduledTask nextAdvance;
     private boolean up;
     private double startedAt;
     private double failureShare;
-    private int ignoredZone = -1;
+    private int ignoredZone = NO_ZONE;
+
+    /** Set by a fault; 0: as many as its capacity says. */
     private int connectionLimit;
 
-    /** Connections, and how often its process began. */
-    int connections;
+    private int connections;
 
-    int incarnation;
+    /** How often its process has started. */
+    private int incarnation;
 
-    EmulatedEndpoint(
-            EmulatedFleet fleet,
-            int number,
-            long id,
-            int zone,
-            int kind,
-            EndpointModel.Capacity capacity,
-            long seed) {
+    EmulatedEndpoint(EmulatedFleet fleet, int number, EndpointSpec spec, long seed) {
         this.fleet = fleet;
         this.number = number;
-        this.id = id;
+        this.id = spec.id();
         this.key = Long.toString(id);
-        this.zone = zone;
-        this.kind = kind;
+        this.zone = spec.zone();
+        this.kind = spec.kind();
         this.random = new SplittableRandom(seed);
-        this.model =
-                new EndpointModel<>(
-                        capacity,
-                        new EndpointModel.JobListener<>() {
-                            @Override
-                            public void onStarted(Job job, double now) {
-                                if (job.requestClass >= 0) {
-                                    fleet.record(
-                                            new TraceEvent.Executed(
-                                                    now,
-                                                    id,
-                                                    job.requestClass,
-                                                    job.requestId,
-                                                    job.proxy,
-                                                    job.attempt));
-                                }
-                            }
-
-                            @Override
-                            public void onCompleted(Job job, double now) {
-                                recordCompletion(job, now);
-                                double utilization = utilization();
-                                fleet.clock.scheduleAfter(
-                                        EmulatedFleet.HOP_MILLIS,
-                                        () -> job.listener.onResponse(200, false, utilization));
-                            }
-                        });
+        this.model = new EndpointModel<>(spec.capacity(), new CompletionListener());
     }
 
-    private void recordCompletion(Job job, double now) {
-        if (job.requestClass >= 0) {
-            model.recordServiceTime(now - job.arrivedAt);
+    /** Records the jobs that start, and sends the responses of those that end. */
+    private final class CompletionListener implements EndpointModel.JobListener<Job> {
+        @Override
+        public void onStarted(Job job, double now) {
+            if (job.requestClass != HEALTH_CHECK) {
+                fleet.record(
+                        new TraceEvent.Executed(
+                                now, id, job.requestClass, job.requestId, job.proxy, job.attempt));
+            }
+        }
+
+        @Override
+        public void onCompleted(Job job, double now) {
+            if (job.requestClass != HEALTH_CHECK) {
+                model.recordServiceTime(now - job.arrivedAt);
+            }
+            respond(job.listener, OK, false);
         }
     }
 
@@ -111,7 +111,7 @@
         return startedAt;
     }
 
-    /** What it can do at the moment, ms of work a ms; 0 if it answers nothing. */
+    /** The ms of work per ms that it can do now; 0 if it does not respond. */
     double maxWorkRate() {
         return up && model.isResponsive()
                 ? model.maxWorkRate(fleet.clock.now()) * (1 - failureShare)
@@ -122,23 +122,32 @@
         return model.utilization();
     }
 
-    void start(boolean coldStart) {
-        if (up) {
-            return;
+    /** Starts it as one that has been running for long: at its full speed. */
+    void startWarm() {
+        if (!up) {
+            start(0);
         }
-        up = true;
-        incarnation++;
-        connections = 0;
-        double now = fleet.clock.now();
-        startedAt = coldStart ? now : 0;
-        model.start(startedAt, now);
-        if (coldStart) {
+    }
+
+    /** Starts its process now: it has to warm up. */
+    void startCold() {
+        if (!up) {
+            start(fleet.clock.now());
             fleet.record(
                     new TraceEvent.EndpointStarted(
-                            now, id, model.capacity().cores() * model.capacity().speed()));
+                            startedAt, id, model.capacity().cores() * model.capacity().speed()));
         }
     }
 
+    private void start(double processStartedAt) {
+        up = true;
+        incarnation++;
+        connections = 0;
+        startedAt = processStartedAt;
+        model.start(startedAt, fleet.clock.now());
+    }
+
+    /** Its process dies: connections break, what ran or waited is lost. */
     void crash() {
         if (!up) {
             return;
@@ -149,18 +158,19 @@
         model.start(0, fleet.clock.now());
         scheduleAdvance();
         failureShare = 0;
-        ignoredZone = -1;
+        ignoredZone = NO_ZONE;
         List<ResponseListener> brokenListeners = new ArrayList<>(pendingListeners);
         pendingListeners.clear();
         fleet.clock.scheduleAfter(
-                EmulatedFleet.HOP_MILLIS,
+                EmulatedNetwork.HOP_MILLIS,
                 () -> {
                     brokenListeners.forEach(ResponseListener::onConnectionBroken);
                     fleet.clearIdleConnections(this);
                 });
     }
 
-    void update(java.util.function.Consumer<EndpointModel<?>> change) {
+    /** Applies a fault to its model, or removes one. */
+    void update(Consumer<EndpointModel<?>> change) {
         model.advance(fleet.clock.now());
         change.accept(model);
         scheduleAdvance();
@@ -178,17 +188,46 @@
         connectionLimit = limit;
     }
 
-    /** Whether one more is accepted. */
+    /** How often its process has started. */
+    int incarnation() {
+        return incarnation;
+    }
+
+    /** A connection was accepted. */
+    void connectionOpened() {
+        connections++;
+    }
+
+    /** A connection was closed; one of an earlier incarnation broke with it. */
+    void connectionClosed(int openedIncarnation) {
+        if (openedIncarnation == incarnation) {
+            connections--;
+        }
+    }
+
+    /** A proxy closed idle connections. */
+    void idleConnectionsClosed(int count) {
+        if (up) {
+            connections -= count;
+        }
+    }
+
+    /** Whether one more connection is accepted. */
     boolean acceptsConnection() {
         return connections
                 < (connectionLimit > 0 ? connectionLimit : model.capacity().maxConnections());
     }
 
     private boolean isReachableFrom(int from) {
-        return fleet.isOpen(from, zone) && from != ignoredZone;
+        return fleet.network.isOpen(from, zone) && from != ignoredZone;
     }
 
-    /** A request comes over a connection. */
+    /**
+     * A request arrives over a connection.
+     *
+     * @param from the zone of the proxy
+     * @param work ms on a core of speed 1
+     */
     void request(
             ResponseListener listener,
             int proxy,
@@ -213,29 +252,24 @@
             return;
         }
         if (failureShare > 0 && random.nextDouble() < failureShare) {
-            respond(listener, 500, false);
+            respond(listener, INTERNAL_ERROR, false);
         } else if (model.isFull()) {
-            respond(listener, 503, true);
+            respond(listener, UNAVAILABLE, true);
         } else {
             model.submit(
-                    new Job(listener, requestClass, requestId, proxy, attempt, now),
-                    work,
-                    false,
-                    now);
+                    new Job(listener, requestClass, requestId, proxy, attempt, now), work, now);
         }
         scheduleAdvance();
     }
 
+    /** A health check arrives; nothing comes back if the endpoint does not respond. */
     void healthCheck(ResponseListener listener, int from) {
         if (!up) {
             listener.onConnectionBroken();
         } else if (isReachableFrom(from) && model.isResponsive()) {
             model.advance(fleet.clock.now());
-            model.submit(
-                    new Job(listener, -1, 0, -1, 0, fleet.clock.now()),
-                    HEALTH_CHECK_WORK,
-                    true,
-                    fleet.clock.now());
+            double now = fleet.clock.now();
+            model.submitHealthCheck(new Job(listener, HEALTH_CHECK, 0, NO_PROXY, 0, now), now);
             scheduleAdvance();
         }
     }
@@ -243,11 +277,11 @@
     private void respond(ResponseListener listener, int status, boolean notExecuted) {
         double utilization = model.utilization();
         fleet.clock.scheduleAfter(
-                EmulatedFleet.HOP_MILLIS,
+                EmulatedNetwork.HOP_MILLIS,
                 () -> listener.onResponse(status, notExecuted, utilization));
     }
 
-    /** The asker waits no more; its work goes on. */
+    /** Who sent a request waits no more; the work goes on. */
     void removeListener(ResponseListener listener) {
         pendingListeners.remove(listener);
     }
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedGovernor.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedGovernor.java
@@ -4,7 +4,6 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.HdrHistogram.Histogram;
 import sprucelanding.config.governor.GovernorComponents;
 import sprucelanding.config.governor.GovernorConfig;
 import sprucelanding.control.core.DirectInput;
@@ -19,21 +18,32 @@
 import sprucelanding.replay.capture.RecordingInput;
 
 /**
- * A governor's process: the core of the service on virtual time, which can die, start anew, or be
- * paused.
+ * A governor's process: the core of the service on virtual time, which can crash, restart, be
+ * paused or be isolated from its proxies. Its endpoint list and highest generation survive a crash.
  */
 final class EmulatedGovernor implements GovernorCore.Host {
-    private static final double BATCH_MILLIS = 0.1; // ms until a batch of what came is settled
-    static final double START_MILLIS = 900; // ms from its start until it listens
-    private static final double STOP_TIMEOUT_MILLIS = 3000; // ms that a planned stop may take
+    /** The ms from a restart until it listens. */
+    static final double START_MILLIS = 900;
+
+    /** The ms over which inputs are collected into a batch. */
+    private static final double BATCH_MILLIS = 0.1;
+
+    /** The ms that a graceful stop may take. */
+    private static final double STOP_TIMEOUT_MILLIS = 3000;
+
+    private static final double DRAINED_STOP_MILLIS = 1;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     final int number;
     final int zone;
-    final Set<EmulatedStream> streams = new LinkedHashSet<>();
+    private final Set<EmulatedStream> streams = new LinkedHashSet<>();
     private final EmulatedFleet fleet;
     private final GovernorConfig config;
     private final ArrayDeque<Consumer<SharedGovernorCore>> steps = new ArrayDeque<>();
-    private final Histogram acknowledgementTimes = new Histogram(600_000_000L, 3);
+
+    private final AcknowledgementTimes acknowledgementTimes = new AcknowledgementTimes();
+    private final StreamBreak streamBreak = new StreamBreak();
+
     private SharedGovernorCore core;
     private String savedEndpointList;
     private int incarnation;
@@ -41,13 +51,10 @@
     private boolean batchScheduled;
     private boolean watchesDiscovery;
     private double writesDoneAt;
-    private int brokenZone = -1;
-    private int bytesUntilBreak;
     private boolean isolated;
     private long highestGeneration;
     private long peerHandlingNanos;
     private int internalErrors;
-    private double longestAcknowledgement;
 
     EmulatedGovernor(EmulatedFleet fleet, int number, int zone, GovernorConfig config) {
         this.fleet = fleet;
@@ -56,6 +63,7 @@
         this.config = config;
     }
 
+    /** Starts its process; a restart takes a while. */
     void start() {
         if (core != null) {
             return;
@@ -64,40 +72,42 @@
         fleet.clock.scheduleAfter(
                 startedIncarnation == 1 ? 0 : START_MILLIS,
                 () -> {
-                    if (startedIncarnation != incarnation) {
-                        return;
+                    if (startedIncarnation == incarnation) {
+                        startCore();
                     }
-                    RoutingController controller = GovernorComponents.controller(config);
-                    RecordingInput.Sink sink = fleet.capture(number, startedIncarnation);
-                    RecordingInput overheard =
-                            sink == null
-                                    ? null
-                                    : new RecordingInput(new DirectInput(controller), sink);
-                    highestGeneration = Math.max((long) now(), highestGeneration + 1);
-                    core =
-                            new SharedGovernorCore(
-                                    this,
-                                    (recipient, message) ->
-                                            fleet.sendToPeers(number, recipient, message),
-                                    GovernorComponents.fleetMember(
-                                            config, highestGeneration, now()),
-                                    fleet.zones::indexOf,
-                                    host ->
-                                            GovernorComponents.core(
-                                                    config,
-                                                    host,
-                                                    controller,
-                                                    sink == null
-                                                            ? new DirectInput(controller)
-                                                            : overheard,
-                                                    sink == null ? InputListener.NONE : overheard,
-                                                    0));
-                    core.start(
-                            savedEndpointList, config.roster().pushed(), config.reports().every());
-                    core.processBatch();
                 });
     }
 
+    private void startCore() {
+        RoutingController controller = GovernorComponents.controller(config);
+        RecordingInput.Sink sink = fleet.openCapture(number, incarnation);
+        RecordingInput recordingInput =
+                sink == null ? null : new RecordingInput(new DirectInput(controller), sink);
+        highestGeneration = Math.max((long) now(), highestGeneration + 1);
+        core =
+                new SharedGovernorCore(
+                        this,
+                        (recipient, message) ->
+                                fleet.network.sendToPeers(number, recipient, message),
+                        GovernorComponents.fleetMember(config, highestGeneration, now()),
+                        fleet.zones::indexOf,
+                        host ->
+                                GovernorComponents.core(
+                                        config,
+                                        host,
+                                        controller,
+                                        recordingInput == null
+                                                ? new DirectInput(controller)
+                                                : recordingInput,
+                                        recordingInput == null
+                                                ? InputListener.NONE
+                                                : recordingInput,
+                                        0));
+        core.start(savedEndpointList, config.roster().pushed(), config.reports().every());
+        core.processBatch();
+    }
+
+    /** Its process dies: streams break, and what waits is lost. */
     void crash() {
         incarnation++;
         core = null;
@@ -108,14 +118,16 @@
         Set.copyOf(streams).forEach(EmulatedStream::onGovernorClosed);
     }
 
+    /** While it is paused, nothing is processed; what comes waits. */
     void setPaused(boolean enabled) {
         paused = enabled;
-        Set.copyOf(streams).forEach(EmulatedStream::connectivityChanged);
+        connectivityChanged();
         if (!enabled) {
             scheduleBatch();
         }
     }
 
+    /** Whether its process runs, paused or not. */
     boolean isAlive() {
         return core != null;
     }
@@ -132,11 +144,12 @@
         return internalErrors;
     }
 
-    Histogram inForce() {
+    /** The times from its orders to their acknowledgements. */
+    AcknowledgementTimes acknowledgementTimes() {
         return acknowledgementTimes;
     }
 
-    /** From the world; what comes while it is paused waits. */
+    /** Queues a step for the next batch; lost if the process does not run. */
     void submit(Consumer<SharedGovernorCore> step) {
         if (isAlive()) {
             steps.add(step);
@@ -167,13 +180,13 @@
         highestGeneration = Math.max(highestGeneration, core.highestEpoch());
     }
 
-    /** When its writing threads have done with so much more. */
+    /** Reserves so many ms of its writing threads; returns when they are through with it. */
     double reserveWrite(double durationMillis) {
         writesDoneAt = Math.max(writesDoneAt, now()) + durationMillis;
         return writesDoneAt;
     }
 
-    /** Another governor said something. */
+    /** A datagram of another governor arrives. */
     void onPeerMessage(Object message) {
         submit(
                 core -> {
@@ -183,37 +196,46 @@
                 });
     }
 
-    /** ms of this machine that what other governors said took so far. */
+    /** The ms of wall time that datagrams of other governors have taken so far. */
     double peerHandlingMillis() {
-        return peerHandlingNanos / 1e6;
+        return peerHandlingNanos / NANOS_PER_MILLI;
     }
 
-    /** Its proxies and it do not hear each other. */
-    void isolated(boolean enabled) {
+    /** While it is isolated, nothing passes between it and its proxies. */
+    void setIsolated(boolean enabled) {
         isolated = enabled;
-        Set.copyOf(streams).forEach(EmulatedStream::connectivityChanged);
+        connectivityChanged();
     }
 
-    boolean isolated() {
+    boolean isIsolated() {
         return isolated;
     }
 
-    /** Planned: its proxies are sent on, then it ends. */
+    /**
+     * The state of the network or of this process changed: streams may be silent, or open again.
+     */
+    void connectivityChanged() {
+        Set.copyOf(streams).forEach(EmulatedStream::connectivityChanged);
+    }
+
+    void streamOpened(EmulatedStream stream) {
+        streams.add(stream);
+    }
+
+    void streamClosed(EmulatedStream stream) {
+        streams.remove(stream);
+    }
+
+    /** Stops as planned: its proxies are sent to other governors, then it ends. */
     void stopGracefully() {
         int startedIncarnation = incarnation;
-        submit(
-                core ->
-                        core.drain(
-                                () ->
-                                        fleet.clock.scheduleAfter(
-                                                1,
-                                                () -> {
-                                                    if (startedIncarnation == incarnation) {
-                                                        crash();
-                                                    }
-                                                })));
+        submit(core -> core.drain(() -> crashAfter(DRAINED_STOP_MILLIS, startedIncarnation)));
+        crashAfter(STOP_TIMEOUT_MILLIS, startedIncarnation);
+    }
+
+    private void crashAfter(double millis, int startedIncarnation) {
         fleet.clock.scheduleAfter(
-                STOP_TIMEOUT_MILLIS,
+                millis,
                 () -> {
                     if (startedIncarnation == incarnation) {
                         crash();
@@ -222,8 +244,8 @@
     }
 
     /**
-     * Looked at right before a write, as the fronts do; a governor that may not write any more ends
-     * the stream.
+     * Whether a message may still be written, checked right before the write as the fronts do. A
+     * governor whose lease on the proxy has expired closes the stream.
      */
     boolean canWrite(ResourceUpdate message) {
         if (message.stream.lease().isValidAt(now()) && !paused) {
@@ -240,22 +262,9 @@
                 + (proxyStream.lease().epoch() == 0 ? "" : "#" + proxyStream.lease().epoch());
     }
 
-    void breakStreamsAfter(int zone, int bytes) {
-        brokenZone = zone;
-        bytesUntilBreak = bytes;
-    }
-
-    /** Whether a message to that zone breaks its stream, in the middle. */
-    boolean breaksStream(int proxyZone, ResourceUpdate message) {
-        if (proxyZone != brokenZone) {
-            return false;
-        }
-        bytesUntilBreak -= 60 + 90 * message.entryCount();
-        if (bytesUntilBreak >= 0) {
-            return false;
-        }
-        brokenZone = -1;
-        return true;
+    /** The fault that breaks a stream within a message. */
+    StreamBreak streamBreak() {
+        return streamBreak;
     }
 
     boolean watchesDiscovery() {
@@ -288,51 +297,57 @@
     }
 
     @Override
-    public void closeStream(Object stream, ProxyStream holder, boolean busy, String reason) {
+    public void closeStream(Object stream, ProxyStream proxyStream, boolean busy, String reason) {
         ((EmulatedStream) stream).onGovernorClosed();
     }
 
     @Override
     public void startHealthCheck(ListedEndpoint listedEndpoint) {
-        int startedIncarnation = incarnation;
-        EmulatedEndpoint core = fleet.endpoint(listedEndpoint.id());
-        boolean[] finished = new boolean[1];
-        EmulatedEndpoint.ResponseListener listener =
-                new EmulatedEndpoint.ResponseListener() {
-                    private void done(HealthCheckResult answer, double load) {
-                        if (!finished[0]) {
-                            finished[0] = true;
-                            if (startedIncarnation == incarnation) {
-                                submit(
-                                        core ->
-                                                core.core()
-                                                        .healthCheckCompleted(
-                                                                listedEndpoint.id(), answer, load));
-                            }
-                        }
-                    }
+        HealthCheck healthCheck = new HealthCheck(listedEndpoint.id());
+        EmulatedEndpoint endpoint = fleet.endpoint(listedEndpoint.id());
+        fleet.clock.scheduleAfter(config.probes().timeout(), healthCheck::onTimeout);
+        fleet.clock.scheduleAfter(
+                2 * EmulatedNetwork.HOP_MILLIS, () -> endpoint.healthCheck(healthCheck, zone));
+    }
 
-                    @Override
-                    public void onResponse(int status, boolean notExecuted, double utilization) {
-                        done(
-                                status < 0 ? HealthCheckResult.TIMED_OUT : HealthCheckResult.OK,
-                                utilization);
-                    }
+    /** One health check; its first result counts, unless the process restarted in between. */
+    private final class HealthCheck implements EmulatedEndpoint.ResponseListener {
+        private final long endpointId;
+        private final int startedIncarnation = incarnation;
+        private boolean completed;
 
-                    @Override
-                    public void onConnectionBroken() {
-                        done(HealthCheckResult.UNREACHABLE, Double.NaN);
-                    }
-                };
-        fleet.clock.scheduleAfter(
-                config.probes().timeout(), () -> listener.onResponse(-1, false, Double.NaN));
-        fleet.clock.scheduleAfter(
-                2 * EmulatedFleet.HOP_MILLIS, () -> core.healthCheck(listener, zone));
+        HealthCheck(long endpointId) {
+            this.endpointId = endpointId;
+        }
+
+        void onTimeout() {
+            complete(HealthCheckResult.TIMED_OUT, Double.NaN);
+        }
+
+        @Override
+        public void onResponse(int status, boolean notExecuted, double utilization) {
+            complete(HealthCheckResult.OK, utilization);
+        }
+
+        @Override
+        public void onConnectionBroken() {
+            complete(HealthCheckResult.UNREACHABLE, Double.NaN);
+        }
+
+        private void complete(HealthCheckResult result, double utilization) {
+            if (completed) {
+                return;
+            }
+            completed = true;
+            if (startedIncarnation == incarnation) {
+                submit(core -> core.core().healthCheckCompleted(endpointId, result, utilization));
+            }
+        }
     }
 
     @Override
     public void broadcastToPeers(byte[] payload) {
-        // Choice asks for none so far
+        // the controller does not use it
     }
 
     @Override
@@ -343,18 +358,10 @@
 
     @Override
     public void batchAcknowledged(Object stream, double afterMillis) {
-        acknowledgementTimes.recordValue((long) Math.max(0, afterMillis * 1000));
-        longestAcknowledgement = Math.max(longestAcknowledgement, afterMillis);
-    }
-
-    /** ms of the longest order to come in force since this was last asked. */
-    double takeLongestAcknowledgement() {
-        double largest = longestAcknowledgement;
-        longestAcknowledgement = 0;
-        return largest;
+        acknowledgementTimes.record(afterMillis);
     }
 
-    /** The roster tells something. */
+    /** An update from discovery arrives. */
     void onDiscoveryUpdate(String text) {
         submit(
                 core -> {
@@ -368,7 +375,7 @@
 
     @Override
     public void endpointListed(ListedEndpoint entry) {
-        // addresses do not matter here
+        // endpoints are found by their ids: addresses do not matter here
     }
 
     @Override
@@ -377,8 +384,8 @@
     }
 
     @Override
-    public void decisionFailed(RuntimeException e) {
+    public void decisionFailed(RuntimeException exception) {
         internalErrors++;
-        fleet.log(number, "BUG: a decision failed", "why", e.toString());
+        fleet.log(number, "BUG: a decision failed", "why", exception.toString());
     }
 }
--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedStream.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedStream.java
@@ -7,27 +7,35 @@
 import sprucelanding.control.delivery.ResourceUpdate;
 
 /**
- * One proxy's stream to one governor: in order both ways, silent across a cut, and ended by the
- * proxy's keepalive then.
+ * One stream between a proxy and a governor: in order both ways. Across a network cut it is silent,
+ * and what was sent waits; the proxy's keepalive then ends it.
  */
 final class EmulatedStream {
-    private static final double KEEPALIVE_MILLIS =
-            3000; // ms of silence after which the proxy gives it up
+    /** The ms of silence after which the proxy closes the stream. */
+    private static final double KEEPALIVE_MILLIS = 3000;
+
     private static final double OPEN_MILLIS = 3;
-    private static final double MESSAGE_WRITE_MILLIS = 0.02; // ms of the governor's writing threads
+
+    /** The ms of the governor's writing threads for a message, and more for each entry of it. */
+    private static final double MESSAGE_WRITE_MILLIS = 0.02;
+
     private static final double ENTRY_WRITE_MILLIS = 0.002;
 
+    /** Keeps messages that are written at the same time in order. */
+    private static final double MIN_WRITE_GAP_MILLIS = 1e-6;
+
     final EmulatedGovernor governor;
     final ProxyStream proxyStream;
     private final EmulatedFleet fleet;
     private final EmulatedProxy proxy;
+    private final GovernorSession session;
     private final boolean hasKeepalive;
 
-    /** A message as it was written, and by whom under which epoch. */
+    /** A message that was written, with the writer's name and epoch. */
     private record SentMessage(ResourceUpdate message, String controlPlaneId) {}
 
-    private final ArrayDeque<SentMessage> heldMessages = new ArrayDeque<>();
-    private final ArrayDeque<Consumer<SharedGovernorCore>> heldSteps = new ArrayDeque<>();
+    private final ArrayDeque<SentMessage> waitingMessages = new ArrayDeque<>();
+    private final ArrayDeque<Consumer<SharedGovernorCore>> waitingSteps = new ArrayDeque<>();
     private double lastWriteAt;
     private boolean closed;
     private boolean keepalivePending;
@@ -35,19 +43,26 @@
     EmulatedStream(
             EmulatedFleet fleet,
             EmulatedProxy proxy,
+            GovernorSession session,
             EmulatedGovernor governor,
-            ProxyStream.UpdateMode form) {
+            ProxyStream.UpdateMode updateMode) {
         this.fleet = fleet;
         this.proxy = proxy;
+        this.session = session;
         this.governor = governor;
-        this.proxyStream = new ProxyStream(proxy.number, form, this);
-        this.hasKeepalive = form != ProxyStream.UpdateMode.EDITS;
+        this.proxyStream = new ProxyStream(proxy.number, updateMode, this);
+        this.hasKeepalive = updateMode != ProxyStream.UpdateMode.EDITS;
     }
 
+    /**
+     * Opens it.
+     *
+     * @param first the first step in the governor
+     */
     void open(Consumer<SharedGovernorCore> first) {
-        governor.streams.add(this);
+        governor.streamOpened(this);
         if (!governor.isAlive()) {
-            fleet.clock.scheduleAfter(OPEN_MILLIS, () -> proxy.onStreamBroken(this));
+            fleet.clock.scheduleAfter(OPEN_MILLIS, () -> session.onStreamBroken(this));
             return;
         }
         connectivityChanged();
@@ -55,26 +70,26 @@
     }
 
     private boolean isSilent() {
-        return !fleet.isOpen(proxy.zone, governor.zone) || governor.isolated();
+        return !fleet.network.isOpen(proxy.zone, governor.zone) || governor.isIsolated();
     }
 
-    /** The proxy says something. */
+    /** Sends what the proxy has to say: a step that runs in the governor. */
     void sendToGovernor(Consumer<SharedGovernorCore> step) {
-        fleet.clock.scheduleAfter(EmulatedFleet.HOP_MILLIS, () -> deliverToGovernor(step));
+        fleet.clock.scheduleAfter(EmulatedNetwork.HOP_MILLIS, () -> deliverToGovernor(step));
     }
 
     private void deliverToGovernor(Consumer<SharedGovernorCore> step) {
         if (closed) {
             return;
         }
-        if (isSilent() || !heldSteps.isEmpty()) {
-            heldSteps.add(step);
+        if (isSilent() || !waitingSteps.isEmpty()) {
+            waitingSteps.add(step);
         } else {
             governor.submit(step);
         }
     }
 
-    /** The governor writes a message. */
+    /** Schedules the governor's write of a message, and its arrival. */
     void sendToProxy(ResourceUpdate message) {
         lastWriteAt =
                 Math.max(
@@ -82,44 +97,45 @@
                                 governor.reserveWrite(
                                         MESSAGE_WRITE_MILLIS
                                                 + ENTRY_WRITE_MILLIS * message.entryCount()))
-                        + 1e-6;
-        fleet.clock.schedule(
-                lastWriteAt,
-                () -> {
-                    if (closed || !governor.canWrite(message)) {
-                        return;
-                    }
-                    String controlPlaneId = governor.controlPlaneId(proxyStream);
-                    fleet.clock.scheduleAfter(
-                            EmulatedFleet.HOP_MILLIS,
-                            () -> {
-                                if (closed) {
-                                    return;
-                                }
-                                if (governor.breaksStream(proxy.zone, message)) {
-                                    proxy.onStreamBroken(this);
-                                    return;
-                                }
-                                heldMessages.add(new SentMessage(message, controlPlaneId));
-                                flush();
-                            });
-                });
+                        + MIN_WRITE_GAP_MILLIS;
+        fleet.clock.schedule(lastWriteAt, () -> write(message));
+    }
+
+    private void write(ResourceUpdate message) {
+        if (closed || !governor.canWrite(message)) {
+            return;
+        }
+        String controlPlaneId = governor.controlPlaneId(proxyStream);
+        fleet.clock.scheduleAfter(
+                EmulatedNetwork.HOP_MILLIS, () -> arrive(new SentMessage(message, controlPlaneId)));
+    }
+
+    private void arrive(SentMessage sent) {
+        if (closed) {
+            return;
+        }
+        if (governor.streamBreak().breaksWithin(proxy.zone, sent.message)) {
+            session.onStreamBroken(this);
+            return;
+        }
+        waitingMessages.add(sent);
+        flush();
     }
 
-    /** The way may be open again: what was held up goes on. */
+    /** Delivers what waits, as far as the stream is open. */
     void flush() {
-        while (!closed && !isSilent() && !proxy.readsPaused && !heldMessages.isEmpty()) {
-            SentMessage nextMessage = heldMessages.poll();
-            proxy.onMessage(this, nextMessage.message, nextMessage.controlPlaneId);
+        while (!closed && !isSilent() && !session.readsPaused() && !waitingMessages.isEmpty()) {
+            SentMessage nextMessage = waitingMessages.poll();
+            session.onMessage(this, nextMessage.message, nextMessage.controlPlaneId);
         }
-        while (!closed && !isSilent() && !heldSteps.isEmpty()) {
-            governor.submit(heldSteps.poll());
+        while (!closed && !isSilent() && !waitingSteps.isEmpty()) {
+            governor.submit(waitingSteps.poll());
         }
     }
 
     /**
-     * The way may have become silent or its governor have stopped: the proxy finds out, if it does
-     * not pass.
+     * The network or the governor's state changed: delivers what waits, or schedules the proxy's
+     * keepalive timeout.
      */
     void connectivityChanged() {
         flush();
@@ -130,28 +146,28 @@
                     () -> {
                         keepalivePending = false;
                         if (isSilent() || governor.isPaused()) {
-                            proxy.onStreamBroken(this);
+                            session.onStreamBroken(this);
                         }
                     });
         }
     }
 
-    /** The proxy has done with it. */
+    /** The proxy closes it. */
     void close() {
         if (!closed) {
             closed = true;
-            governor.streams.remove(this);
+            governor.streamClosed(this);
             governor.submit(core -> core.proxyDisconnected(proxyStream));
         }
     }
 
-    /** The governor ends it, or died. */
+    /** The governor closed it, or died. */
     void onGovernorClosed() {
         fleet.clock.scheduleAfter(
-                EmulatedFleet.HOP_MILLIS,
+                EmulatedNetwork.HOP_MILLIS,
                 () -> {
                     if (!closed) {
-                        proxy.onStreamBroken(this);
+                        session.onStreamBroken(this);
                     }
                 });
     }
--- a/src/main/java/sprucelanding/simulation/emulator/Emulation.java
+++ b/src/main/java/sprucelanding/simulation/emulator/Emulation.java
@@ -4,8 +4,6 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.TreeMap;
-import java.util.function.IntFunction;
-import org.HdrHistogram.Histogram;
 import sprucelanding.config.governor.GovernorConfig;
 import sprucelanding.config.records.InvalidRecordsException;
 import sprucelanding.replay.capture.RecordingInput;
@@ -16,21 +14,36 @@
 import sprucelanding.simulation.scenario.ScenarioMetrics;
 import sprucelanding.simulation.scenario.ScenarioRunner;
 
-/** One emulated day, from script and settings to figures. */
+/**
+ * Plays a scenario on virtual time and measures it: rules, revenue, and a hash of all events that
+ * is equal for equal runs.
+ */
 public final class Emulation {
     private static final double WINDOW_MILLIS = 5000;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final long HASH_SEED = 1_125_899_906_842_597L;
+    private static final long HASH_FACTOR = 0x9E3779B97F4A7C15L;
 
     /**
-     * What came of it.
+     * The result of a run.
      *
-     * @param windows service of each 5 s, by when txns came
-     * @param hash of all that was seen: equal for equal days
-     * @param inForceP99 ms from an order to its acknowledgement
-     * @param took ms of this machine
-     * @param peerBytes a second in all that governors told each other, peerPackets packets,
-     *     sharingTook ms of this machine for it
-     * @param samples each second: s, load by zone, share let in by product, ms of the longest order
-     *     to come in force
+     * @param outcome the scenario's report
+     * @param service revenue earned, as a share of that requested
+     * @param worstTenSeconds the same in the worst 10 s
+     * @param serviceByWindow the same in each window of 5 s, by the arrival of requests
+     * @param hash of all events: equal for equal runs
+     * @param requests requests that ended
+     * @param attempts attempts at endpoints
+     * @param acknowledgementP50Millis median ms from an order to its acknowledgement
+     * @param acknowledgementP99Millis 99th percentile of the same
+     * @param internalErrors decisions that failed
+     * @param verdicts of the rule checker
+     * @param wallMillis ms of wall time
+     * @param samples each second: s, utilization by zone, admitted share by request class, ms of
+     *     the longest acknowledgement
+     * @param peerBytesPerSecond bytes of all datagrams between governors
+     * @param peerPacketsPerSecond datagrams between governors
+     * @param peerHandlingMillisPerSecond ms of wall time to process them
      */
     public record Result(
             ScenarioRunner.ScenarioResult outcome,
@@ -56,23 +69,26 @@
     private final TreeMap<Integer, double[]> revenueByWindow = new TreeMap<>();
     private final EmulationListener listener;
     private double clientsStartAt;
-    private long hash = 1_125_899_906_842_597L;
+    private long hash = HASH_SEED;
     private long requests;
 
-    /** Who overhears a day. */
+    /** Follows a run; by default it ignores everything. */
     public interface EmulationListener {
+        /** Ignores everything. */
         EmulationListener NONE = new EmulationListener() {};
 
-        /** All that stand-ins on sockets would note, in order. */
+        /** An event, in the order of time. */
         default void onEvent(TraceEvent event) {}
 
+        /** Whether log lines are to be made at all. */
         default boolean wantsLog() {
             return false;
         }
 
+        /** A log line of a governor, with its time. */
         default void onLogLine(String line) {}
 
-        /** Where a governor's capture of this life of its goes; null for none. */
+        /** Where the capture of one incarnation of a governor goes; null for none. */
         default RecordingInput.Sink openCapture(int governor, int incarnation) {
             return null;
         }
@@ -86,8 +102,10 @@
     }
 
     /**
-     * Governors' stations as the script sets them up, with an overlay of records on each; null for
-     * none.
+     * The configurations of a scenario's governors, with an overlay of records on each.
+     *
+     * @param overlay null for none
+     * @throws InvalidRecordsException if the overlay does not fit
      */
     public static List<GovernorConfig> governorConfigs(
             Scenario scenario, String overlayName, String overlay) throws InvalidRecordsException {
@@ -104,7 +122,7 @@
         return configs;
     }
 
-    /** Plays a scripted day. */
+    /** Plays a scenario with its own endpoints, demand and faults. */
     public static Result play(
             Scenario scenario,
             double durationMillis,
@@ -114,62 +132,47 @@
         scenario.check();
         double[] expectedRates = scenario.expectedLoads();
         return play(
-                scenario,
-                durationMillis,
-                EmulatedFleet.endpointSpecs(scenario),
-                governorConfigs,
-                policy,
-                proxy ->
-                        new RandomDemand(
-                                scenario.products(),
-                                expectedRates[proxy],
-                                scenario.seed() * 3000 + proxy),
-                EmulatedFleet::scheduleScriptedFaults,
-                scenario.seed(),
-                listener);
-    }
-
-    static Result play(
-            Scenario scenario,
-            double durationMillis,
-            List<EmulatedFleet.EndpointSpec> endpointSpecs,
-            List<GovernorConfig> governorConfigs,
-            RoutingPolicy policy,
-            IntFunction<Demand> demand,
-            EmulatedFleet.FaultPlan faultPlan,
-            long seed,
-            EmulationListener listener) {
-        Emulation emulation = new Emulation(scenario, listener);
-        EmulatedFleet fleet =
-                new EmulatedFleet(
+                new FleetSpec(
                         scenario,
                         durationMillis,
-                        endpointSpecs,
+                        EndpointSpec.ofScenario(scenario),
                         governorConfigs,
                         policy,
-                        demand,
-                        faultPlan,
-                        seed,
-                        emulation::record,
-                        listener);
+                        proxy ->
+                                new RandomDemand(
+                                        scenario.products(),
+                                        expectedRates[proxy],
+                                        scenario.seed() * 3000 + proxy),
+                        EmulatedFleet::scheduleScriptedFaults,
+                        scenario.seed()),
+                listener);
+    }
+
+    /** Plays a run of a fleet. */
+    static Result play(FleetSpec spec, EmulationListener listener) {
+        Emulation emulation = new Emulation(spec.scenario(), listener);
+        EmulatedFleet fleet = new EmulatedFleet(spec, emulation::record, listener);
         emulation.clientsStartAt = fleet.startsAt();
         long startedNanos = System.nanoTime();
         fleet.run();
-        double elapsedMillis = (System.nanoTime() - startedNanos) / 1e6;
-        List<Verdict> verdicts = emulation.ruleChecker.verdicts();
-        Histogram inForce = new Histogram(600_000_000L, 3);
-        int bugs = 0;
-        for (EmulatedGovernor governor : fleet.governorNodes) {
-            inForce.add(governor.inForce());
-            bugs += governor.internalErrors();
+        double wallMillis = (System.nanoTime() - startedNanos) / NANOS_PER_MILLI;
+        return emulation.result(spec, fleet, wallMillis);
+    }
+
+    private Result result(FleetSpec spec, EmulatedFleet fleet, double wallMillis) {
+        double durationMillis = spec.durationMillis();
+        List<Verdict> verdicts = ruleChecker.verdicts();
+        AcknowledgementTimes acknowledgementTimes = new AcknowledgementTimes();
+        int internalErrors = 0;
+        for (EmulatedGovernor governor : fleet.governors) {
+            acknowledgementTimes.add(governor.acknowledgementTimes());
+            internalErrors += governor.internalErrors();
         }
-        double[] serviceByWindow =
-                emulation.revenueByWindow.values().stream()
-                        .mapToDouble(window -> window[1] == 0 ? 1 : window[0] / window[1])
-                        .toArray();
+        double peerHandlingMillis =
+                fleet.governors.stream().mapToDouble(EmulatedGovernor::peerHandlingMillis).sum();
         ScenarioRunner.ScenarioResult outcome =
-                emulation.metrics.outcome(
-                        policy.name().toLowerCase(Locale.ROOT),
+                metrics.outcome(
+                        spec.policy().name().toLowerCase(Locale.ROOT),
                         durationMillis,
                         verdicts,
                         false,
@@ -178,23 +181,27 @@
                         List.of());
         return new Result(
                 outcome,
-                emulation.metrics.service(),
+                metrics.service(),
                 outcome.figures().path("worst10s").asDouble(),
-                serviceByWindow,
-                emulation.hash,
-                emulation.requests,
-                emulation.metrics.attempts(),
-                inForce.getValueAtPercentile(50) / 1000.0,
-                inForce.getValueAtPercentile(99) / 1000.0,
-                bugs,
+                serviceByWindow(),
+                hash,
+                requests,
+                metrics.attempts(),
+                acknowledgementTimes.millisAtPercentile(50),
+                acknowledgementTimes.millisAtPercentile(99),
+                internalErrors,
                 verdicts,
-                elapsedMillis,
+                wallMillis,
                 fleet.samples(),
-                fleet.peerBytes() * 1000 / durationMillis,
-                fleet.peerPackets() * 1000 / durationMillis,
-                fleet.governorNodes.stream().mapToDouble(EmulatedGovernor::peerHandlingMillis).sum()
-                        * 1000
-                        / durationMillis);
+                fleet.network.peerBytes() * 1000 / durationMillis,
+                fleet.network.peerPackets() * 1000 / durationMillis,
+                peerHandlingMillis * 1000 / durationMillis);
+    }
+
+    private double[] serviceByWindow() {
+        return revenueByWindow.values().stream()
+                .mapToDouble(window -> window[1] == 0 ? 1 : window[0] / window[1])
+                .toArray();
     }
 
     private void record(TraceEvent event) {
@@ -213,7 +220,7 @@
         listener.onEvent(event);
     }
 
-    /** Adds a txn to its window's revenue, got and asked for. */
+    /** Adds a request to the revenue of its window, earned and requested. */
     static void addToWindow(
             TreeMap<Integer, double[]> windows,
             TraceEvent.RequestEnded ended,
@@ -228,7 +235,7 @@
     }
 
     private void mixIntoHash(long value) {
-        hash = (hash ^ value) * 0x9E3779B97F4A7C15L;
+        hash = (hash ^ value) * HASH_FACTOR;
         hash ^= hash >>> 29;
     }
 }
--- a/src/main/java/sprucelanding/simulation/emulator/RandomDemand.java
+++ b/src/main/java/sprucelanding/simulation/emulator/RandomDemand.java
@@ -8,12 +8,19 @@
 import sprucelanding.simulation.scenario.Scenario;
 
 /**
- * Demand as a script says: arrivals at random, works exponential; arrivals and works are drawn
- * apart.
+ * Demand of a scenario: Poisson arrivals with exponentially distributed work. Gaps, request classes
+ * and work are drawn from separate generators.
  */
 final class RandomDemand implements Demand {
-    private static final double MAX_GAP_MILLIS = 1000; // ms after which the rate is looked at again
-    private static final double MAX_WORK_FACTOR = 10; // times the mean work
+    /** The ms after which the rate is looked at again. */
+    private static final double MAX_GAP_MILLIS = 1000;
+
+    /** The most work of a request, as a multiple of the mean. */
+    private static final double MAX_WORK_FACTOR = 10;
+
+    private static final double MIN_RATE = 1e-6;
+    private static final double MILLIS_PER_SECOND = 1000;
+
     private final List<Scenario.RequestClassSettings> requestClasses;
     private final double baselineRate;
     private final UniformRandomProvider classSampler;
@@ -21,7 +28,9 @@
     private final SharedStateContinuousSampler workSampler;
 
     /**
-     * @param usual txns a second
+     * Creates the demand of one proxy's clients.
+     *
+     * @param expectedRate requests per second at the baseline
      */
     RandomDemand(
             List<Scenario.RequestClassSettings> requestClasses, double expectedRate, long seed) {
@@ -36,15 +45,17 @@
 
     @Override
     public Arrival nextArrival(double afterMillis, double factor) {
-        double gap = gapSampler.sample() / Math.max(1e-6, baselineRate * factor) * 1000;
+        double gap =
+                gapSampler.sample() / Math.max(MIN_RATE, baselineRate * factor) * MILLIS_PER_SECOND;
         if (gap > MAX_GAP_MILLIS) {
-            return new Arrival(afterMillis + MAX_GAP_MILLIS, -1, 0);
+            return Arrival.empty(afterMillis + MAX_GAP_MILLIS);
         }
         double draw = classSampler.nextDouble();
         int requestClass = 0;
         while (requestClass < requestClasses.size() - 1
                 && draw >= requestClasses.get(requestClass).part()) {
-            draw -= requestClasses.get(requestClass++).part();
+            draw -= requestClasses.get(requestClass).part();
+            requestClass++;
         }
         return new Arrival(
                 afterMillis + gap,
--- a/src/main/java/sprucelanding/simulation/emulator/RoutingPolicy.java
+++ b/src/main/java/sprucelanding/simulation/emulator/RoutingPolicy.java
@@ -1,14 +1,15 @@
 package sprucelanding.simulation.emulator;
 
-/** Whose tables proxies go by. All but the governors' are baselines, set without a channel. */
+/** Who sets the proxies' tables. All but the governors are baselines, which need no channel. */
 public enum RoutingPolicy {
+    /** The governors of the scenario. */
     GOVERNORS,
-    /** All replicas evenly, as listed at the begin. */
+    /** All endpoints evenly, as listed at the start. */
     EVEN,
-    /** The standing lines of the own zone, all day. */
+    /** The static entries of the own zone throughout. */
     HANDS_OFF,
-    /** Each second, weights inverse to the loads that answers told. */
+    /** Each second, weights inverse to the utilization of endpoints. */
     INVERSE,
-    /** Each second, weights as what replicas can truly do at the moment: what nobody can know. */
+    /** Each second, weights by the true current capacity of endpoints, which nobody can know. */
     SEEING
 }
--- a/src/main/java/sprucelanding/simulation/emulator/VirtualClock.java
+++ b/src/main/java/sprucelanding/simulation/emulator/VirtualClock.java
@@ -3,19 +3,19 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time: what is due next happens next; what is due at the same time happens in the order in
- * which it was set.
+ * A virtual clock with a queue of tasks: runs them in the order of their times, tasks of the same
+ * time in the order in which they were scheduled. Times are ms.
  */
 final class VirtualClock {
-    /** Something due; it can be called off. */
-    static final class ScheduledTask implements Comparable<ScheduledTask> {
+    /** A scheduled task, which can be cancelled. */
+    static final class ScheduledTask {
         private final double time;
         private final long sequence;
         private Runnable task;
 
-        ScheduledTask(double at, long order, Runnable task) {
-            this.time = at;
-            this.sequence = order;
+        ScheduledTask(double time, long sequence, Runnable task) {
+            this.time = time;
+            this.sequence = sequence;
             this.task = task;
         }
 
@@ -23,19 +23,22 @@
             task = null;
         }
 
-        @Override
-        public int compareTo(ScheduledTask other) {
-            return time < other.time
-                    ? -1
-                    : time > other.time ? 1 : Long.compare(sequence, other.sequence);
+        private static int compare(ScheduledTask first, ScheduledTask second) {
+            int byTime = Double.compare(first.time, second.time);
+            return byTime != 0 ? byTime : Long.compare(first.sequence, second.sequence);
         }
     }
 
-    private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>(4096);
+    private static final int INITIAL_QUEUE_CAPACITY = 4096;
+
+    private final PriorityQueue<ScheduledTask> tasks =
+            new PriorityQueue<>(INITIAL_QUEUE_CAPACITY, ScheduledTask::compare);
     private double now;
     private long nextSequence;
 
     /**
+     * Creates a clock without tasks.
+     *
      * @param now ms; above 0, for 0 stands for long ago
      */
     VirtualClock(double now) {
@@ -46,16 +49,19 @@
         return now;
     }
 
+    /** Schedules a task at a time; one in the past runs now, after those already due. */
     ScheduledTask schedule(double time, Runnable task) {
         ScheduledTask scheduled = new ScheduledTask(Math.max(now, time), nextSequence++, task);
         tasks.add(scheduled);
         return scheduled;
     }
 
+    /** Schedules a task so many ms from now. */
     ScheduledTask scheduleAfter(double millis, Runnable task) {
         return schedule(now + millis, task);
     }
 
+    /** Runs all tasks that are due up to a time, and then stands at that time. */
     void runUntil(double deadline) {
         while (!tasks.isEmpty() && tasks.peek().time <= deadline) {
             ScheduledTask nextTask = tasks.poll();
--- a/src/main/java/sprucelanding/simulation/emulator/package-info.java
+++ b/src/main/java/sprucelanding/simulation/emulator/package-info.java
@@ -1,6 +1,10 @@
 /**
- * Plays a scripted day in virtual time: clients, plain proxies, replicas, links and a roster as the
- * project models them, around the very core that governs in service. One thread; the same script
- * and settings give the same day, to the last bit.
+ * Stands in for a whole fleet on virtual time: clients, plain proxies, endpoints, the network and
+ * discovery, around the very core that governs in service. Everything runs on the caller's thread;
+ * the same scenario and settings give the same run, to the last bit. Times are ms as double.
+ *
+ * <p>{@link sprucelanding.simulation.emulator.Emulation} plays scenarios, {@link
+ * sprucelanding.simulation.emulator.ScenarioReplay} captured runs; {@code EmulatedFleet} builds the
+ * parties, {@code VirtualClock} orders what they do.
  */
 package sprucelanding.simulation.emulator;
--- a/src/main/java/sprucelanding/simulation/loopback/SimulatedEndpoint.java
+++ b/src/main/java/sprucelanding/simulation/loopback/SimulatedEndpoint.java
@@ -49,7 +49,6 @@
     }
 
     private static final int MAX_BUFFERED_BYTES = 65_536;
-    private static final double HEALTH_CHECK_WORK = 2;
 
     public final long id;
     public final int zone;
@@ -262,10 +261,8 @@
         advance();
         if (message.targetOrStatus().equals("/probe")) {
             if (model.isResponsive()) {
-                model.submit(
+                model.submitHealthCheck(
                         new Job(connection, -1, 0, -1, 0, EventLoop.nowMillis()),
-                        HEALTH_CHECK_WORK,
-                        true,
                         EventLoop.nowMillis());
                 scheduleAdvance();
             }
@@ -296,11 +293,7 @@
                             503, "x-unrun", "1", "endpoint-load-metrics", loadReport()));
             return;
         }
-        model.submit(
-                new Job(connection, requestClass, requestId, proxy, attempt, now),
-                work,
-                false,
-                now);
+        model.submit(new Job(connection, requestClass, requestId, proxy, attempt, now), work, now);
         scheduleAdvance();
     }
 
--- a/src/main/java/sprucelanding/simulation/loopback/SimulatedProxy.java
+++ b/src/main/java/sprucelanding/simulation/loopback/SimulatedProxy.java
@@ -16,9 +16,9 @@
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.runtime.eventloop.HttpParser;
 import sprucelanding.runtime.eventloop.TcpConnection;
-import sprucelanding.simulation.model.AdmissionGate;
 import sprucelanding.simulation.model.LocalOutliers;
 import sprucelanding.simulation.model.ProxyTables;
+import sprucelanding.simulation.model.RequestAdmission;
 import sprucelanding.simulation.model.Route;
 import sprucelanding.simulation.model.WeightedEndpoint;
 import sprucelanding.simulation.rules.EventTrace;
@@ -253,7 +253,7 @@
     private final Map<InetSocketAddress, Integer> openAttempts = new HashMap<>();
     private final LocalOutliers<InetSocketAddress> localOutliers;
     private final Map<String, Integer> reportedPickable = new HashMap<>();
-    private final AdmissionGate admissionGate = new AdmissionGate();
+    private final RequestAdmission admission = new RequestAdmission();
     private final Set<TcpConnection> clients = new HashSet<>();
     private ServerSocketChannel server;
     private int port;
@@ -579,7 +579,7 @@
                         id,
                         message.header("x-work"),
                         EventLoop.nowMillis() + message.numberHeader("x-left", 1000));
-        if (!admissionGate.admits(
+        if (!admission.admits(
                 requestClasses.get(requestClass),
                 tables.routes.get(requestClasses.get(requestClass)),
                 EventLoop.nowMillis(),
--- a/src/main/java/sprucelanding/simulation/model/ClientRetryPolicy.java
+++ b/src/main/java/sprucelanding/simulation/model/ClientRetryPolicy.java
@@ -30,7 +30,7 @@
     }
 
     /** The ms until the next attempt, from a uniform draw in [0, 1). */
-    public double delayMillis(double drawn) {
-        return meanDelayMillis * (MIN_DELAY_FACTOR + drawn);
+    public double delayMillis(double draw) {
+        return meanDelayMillis * (MIN_DELAY_FACTOR + draw);
     }
 }
--- a/src/main/java/sprucelanding/simulation/model/EndpointModel.java
+++ b/src/main/java/sprucelanding/simulation/model/EndpointModel.java
@@ -47,7 +47,7 @@
         void onCompleted(J job, double now);
     }
 
-    private static final class RunningJob<J> implements Comparable<RunningJob<J>> {
+    private static final class RunningJob<J> {
         final J job;
         final double finishWork;
         final long sequence;
@@ -58,20 +58,9 @@
             this.sequence = sequence;
         }
 
-        @Override
-        public int compareTo(RunningJob<J> other) {
-            int byFinish = Double.compare(finishWork, other.finishWork);
-            return byFinish != 0 ? byFinish : Long.compare(sequence, other.sequence);
-        }
-
-        @Override
-        public boolean equals(Object other) {
-            return this == other;
-        }
-
-        @Override
-        public int hashCode() {
-            return System.identityHashCode(this);
+        private static int compare(RunningJob<?> first, RunningJob<?> second) {
+            int byFinish = Double.compare(first.finishWork, second.finishWork);
+            return byFinish != 0 ? byFinish : Long.compare(first.sequence, second.sequence);
         }
     }
 
@@ -82,13 +71,17 @@
     /** The ms between updates while its speed changes. */
     private static final double SPEED_UPDATE_MILLIS = 50;
 
+    /** The ms of work of a health check. */
+    private static final double HEALTH_CHECK_WORK = 2;
+
     private static final double WORK_EPSILON = 1e-6;
     private static final double MAX_STOLEN_SHARE = 0.99;
     private static final double SERVICE_TIME_SMOOTHING = 0.1;
 
     private final Capacity capacity;
     private final JobListener<J> listener;
-    private final PriorityQueue<RunningJob<J>> runningJobs = new PriorityQueue<>();
+    private final PriorityQueue<RunningJob<J>> runningJobs =
+            new PriorityQueue<>(RunningJob::compare);
     private final ArrayDeque<QueuedJob<J>> queuedJobs = new ArrayDeque<>();
     private double startedAt;
     private double advancedAt;
@@ -194,14 +187,18 @@
         return queuedJobs.size() >= capacity.queueCapacity;
     }
 
+    /** Takes a health check: little work that runs at once, without a slot. */
+    public void submitHealthCheck(J job, double now) {
+        startJob(job, HEALTH_CHECK_WORK, now);
+    }
+
     /**
-     * Takes a job.
+     * Takes a job, which waits if no slot is free.
      *
      * @param work ms on a core of speed 1
-     * @param needsNoSlot it runs at once, as a health check does
      */
-    public void submit(J job, double work, boolean needsNoSlot, double now) {
-        if (needsNoSlot || runningJobs.size() < capacity.slots) {
+    public void submit(J job, double work, double now) {
+        if (runningJobs.size() < capacity.slots) {
             startJob(job, work, now);
         } else {
             queuedJobs.add(new QueuedJob<>(job, work));
--- a/src/main/java/sprucelanding/simulation/model/AdmissionGate.java
+++ b/src/main/java/sprucelanding/simulation/model/RequestAdmission.java
@@ -8,7 +8,7 @@
  * Decides which requests a proxy admits: a share of a request class, or a rate by a token bucket
  * that holds the tokens of one second.
  */
-public final class AdmissionGate {
+public final class RequestAdmission {
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final Map<String, TokenBucket> bucketsByClass = new HashMap<>();
--- a/src/test/java/sprucelanding/simulation/emulator/EmulationTest.java
+++ b/src/test/java/sprucelanding/simulation/emulator/EmulationTest.java
@@ -16,7 +16,7 @@
 import sprucelanding.simulation.rules.TraceEvent;
 import sprucelanding.simulation.scenario.Scenario;
 
-/** Short days in virtual time. */
+/** Short runs in virtual time. */
 @Timeout(60)
 class EmulationTest {
     private static Scenario scenario(String faults) throws InvalidRecordsException {
--- a/src/test/java/sprucelanding/simulation/emulator/RecordedDayCaptureTest.java
+++ b/src/test/java/sprucelanding/simulation/emulator/RecordedDayCaptureTest.java
@@ -22,9 +22,9 @@
 import sprucelanding.simulation.scenario.Scenario;
 
 /**
- * Captures of a short emulated day: both governors' and what the stand-ins knew of the
- * transactions. The day is in virtual time, so nothing is masked. Recordings are written with
- * {@code -Drecorded.write=true} only and never edited later: a difference is a defect of the step.
+ * Captures of a short emulated run: both governors' and the ground truth about its requests. The
+ * run is in virtual time, so nothing is masked. Recordings are written with {@code
+ * -Drecorded.write=true} only and never edited later: a difference is a defect of the step.
  */
 @Timeout(60)
 class RecordedDayCaptureTest {
--- a/src/test/java/sprucelanding/simulation/emulator/RecordedDecisionsTest.java
+++ b/src/test/java/sprucelanding/simulation/emulator/RecordedDecisionsTest.java
@@ -22,9 +22,9 @@
 import sprucelanding.simulation.scenario.Scenario;
 
 /**
- * Emulated days decide what they decided when they were recorded, to the last bit.
+ * Emulated runs decide what they decided when they were recorded, to the last bit.
  *
- * <p>Each line of {@code recorded/decisions.txt} is one day: its name, its seed, the number of
+ * <p>Each line of {@code recorded/decisions.txt} is one run: its name, its seed, the number of
  * orders that all governors gave, and a digest of these orders. The recording is written by this
  * class when it runs with {@code -Drecorded.write=true}; otherwise it is compared.
  *
@@ -38,7 +38,7 @@
     private static final Path EXAMPLES = Path.of("examples");
     private static final Path SETTINGS = EXAMPLES.resolve("settings");
 
-    /** Files of examples that are no days. */
+    /** Files of examples that are no scenarios. */
     private static final Set<String> NON_SCENARIOS = Set.of("expect.cue", "lab.cue");
 
     /** Milliseconds for which an example is played at most. */
@@ -50,18 +50,19 @@
     /** Milliseconds for which an example is played with other settings. */
     private static final double WITH_SETTINGS_MILLIS = 15_000;
 
-    /** With how many seeds each of the days beside the examples is played. */
+    /** How many seeds each of the scenarios beside the examples is played with. */
     private static final long SEEDS = 3;
 
-    /** What is laid over a station so that it admits by rates. */
+    /** An overlay on a governor's configuration that admits by rates. */
     private static final String ADMITS_BY_RATE = "admits: \"rate\"\n";
 
     /**
-     * One day to play.
+     * One scenario to play.
      *
-     * @param name of this day in the recording
-     * @param lasts ms for which it is played
-     * @param settings laid over each governor's station; null for none
+     * @param name its name in the recording
+     * @param scenario with its seed
+     * @param durationMillis ms for which it is played
+     * @param settings overlay on each governor's configuration; null for none
      */
     private record RecordedScenario(
             String name, Scenario scenario, double durationMillis, String settings) {
@@ -159,7 +160,7 @@
         return scenarios;
     }
 
-    /** All days of the examples, in short. */
+    /** All scenarios of the examples, shortened. */
     private static List<RecordedScenario> examples() throws Exception {
         List<RecordedScenario> scenarios = new ArrayList<>();
         for (String file : scenarioFiles(EXAMPLES)) {
@@ -177,7 +178,7 @@
         return scenarios;
     }
 
-    /** The bad day with each of the examples' settings, and with seeds of its own. */
+    /** The scenario of a bad day with each of the examples' settings, and with seeds of its own. */
     private static List<RecordedScenario> examplesWithSettings() throws Exception {
         List<RecordedScenario> scenarios = new ArrayList<>();
         Scenario scenario = Scenario.read(EXAMPLES.resolve("bad-day-both.cue"));
@@ -201,8 +202,8 @@
     }
 
     /**
-     * The same day with its first troubles brought forward, if none of them falls in the time for
-     * which it is played; else as it is.
+     * The same scenario with its first faults brought forward, if none of them falls in the time
+     * for which it is played; else as it is.
      */
     private static Scenario shortened(Scenario scenario, double durationMillis) {
         boolean hasFault =
--- a/src/test/java/sprucelanding/simulation/emulator/RecordedDigest.java
+++ b/src/test/java/sprucelanding/simulation/emulator/RecordedDigest.java
@@ -8,7 +8,7 @@
 import sprucelanding.replay.capture.EventType;
 
 /**
- * Counts and digests the orders of an emulated day. It takes numbers to the last bit, and none of
+ * Counts and digests the orders of an emulated run. It takes numbers to the last bit, and none of
  * the names of classes, methods or constants: what each thing is goes in as a tag that is stated
  * here.
  */
@@ -29,12 +29,12 @@
         return count;
     }
 
-    /** The count and the digest; to be asked for once, in the end. */
+    /** The count and the digest; to be called once, at the end. */
     String summary() {
         return count + " " + HexFormat.of().formatHex(digest.digest());
     }
 
-    /** Takes an order of a governor, in the life of its so numbered; leaves all else out. */
+    /** Adds an order of one incarnation of a governor; ignores all other events. */
     void addDecision(
             int governor, int incarnation, double time, EventType eventType, Object... fields) {
         int tag = tag(eventType);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Texts of the log are no decision. */
+    /** Log texts are no decision. */
     private static int tag(EventType eventType) {
         return switch (eventType) {
             case LINE -> 1;
--- a/src/test/java/sprucelanding/simulation/emulator/ScenarioReplayTest.java
+++ b/src/test/java/sprucelanding/simulation/emulator/ScenarioReplayTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -22,25 +23,17 @@
 import sprucelanding.simulation.scenario.GroundTruth;
 import sprucelanding.simulation.scenario.Scenario;
 
-/** Days that are played, captured, and played again from their captures alone. */
+/** Runs that are emulated, captured, and replayed from their captures alone. */
 @Timeout(60)
 class ScenarioReplayTest {
     @TempDir private Path folder;
-    private final List<CaptureWriter> logs = new ArrayList<>();
+    private final List<CaptureWriter> governorCaptures = new ArrayList<>();
     private Scenario scenario;
 
     private void captureEmulation(String faults, double requestsPerSecond, boolean withTruth)
             throws Exception {
         scenario = scenario(faults, requestsPerSecond);
-        CaptureWriter truthLog =
-                withTruth
-                        ? new CaptureWriter(
-                                folder.resolve("truth.cap"),
-                                "",
-                                10_000,
-                                1L << 30,
-                                System.err::println)
-                        : null;
+        CaptureWriter groundTruth = withTruth ? writer(folder.resolve("truth.cap"), "") : null;
         Emulation.play(
                 scenario,
                 scenario.lasts(),
@@ -50,47 +43,48 @@
                     @Override
                     public RecordingInput.Sink openCapture(int governor, int incarnation) {
                         try {
-                            Path file = folder.resolve("governor-" + governor + ".cap");
-                            if (Files.exists(file)) {
-                                Files.move(
-                                        file,
-                                        folder.resolve(
-                                                "governor-"
-                                                        + governor
-                                                        + ".cap."
-                                                        + (incarnation - 1)));
-                            }
-                            CaptureWriter writer =
-                                    new CaptureWriter(
-                                            file,
-                                            scenario.governorConfig(
-                                                    governor,
-                                                    "127.0.0.1:1",
-                                                    "at: \"127.0.0.1:2\"",
-                                                    "peers: others: []\n"),
-                                            10_000,
-                                            1L << 30,
-                                            System.err::println);
-                            logs.add(writer);
-                            return writer::append;
+                            return capture(governor, incarnation)::append;
                         } catch (IOException e) {
-                            throw new java.io.UncheckedIOException(e);
+                            throw new UncheckedIOException(e);
                         }
                     }
 
                     @Override
                     public void onEvent(TraceEvent event) {
-                        if (truthLog != null) {
-                            GroundTruth.record(event, truthLog::append);
+                        if (groundTruth != null) {
+                            GroundTruth.record(event, groundTruth::append);
                         }
                     }
                 });
-        logs.forEach(CaptureWriter::close);
-        if (truthLog != null) {
-            truthLog.close();
+        governorCaptures.forEach(CaptureWriter::close);
+        if (groundTruth != null) {
+            groundTruth.close();
         }
     }
 
+    /** Opens a governor's capture; that of its incarnation before gets a number. */
+    private CaptureWriter capture(int governor, int incarnation) throws IOException {
+        String name = "governor-" + governor + ".cap";
+        Path file = folder.resolve(name);
+        if (Files.exists(file)) {
+            Files.move(file, folder.resolve(name + "." + (incarnation - 1)));
+        }
+        CaptureWriter writer =
+                writer(
+                        file,
+                        scenario.governorConfig(
+                                governor,
+                                "127.0.0.1:1",
+                                "at: \"127.0.0.1:2\"",
+                                "peers: others: []\n"));
+        governorCaptures.add(writer);
+        return writer;
+    }
+
+    private static CaptureWriter writer(Path file, String configText) throws IOException {
+        return new CaptureWriter(file, configText, 10_000, 1L << 30, System.err::println);
+    }
+
     private static Scenario scenario(String faults, double requestsPerSecond)
             throws InvalidRecordsException {
         return Records.parse(
@@ -122,14 +116,14 @@
                 Scenario.class);
     }
 
-    /** The fleet's description as an operator has it: speeds and troubles are not in it. */
+    /** The scenario as an operator knows it: without speeds and faults. */
     private ScenarioReplay readReplay() throws Exception {
         return ScenarioReplay.read(folder, scenario("", 1));
     }
 
     @BeforeEach
-    void clearLogs() {
-        logs.clear();
+    void forgetCaptures() {
+        governorCaptures.clear();
     }
 
     @Test
--- a/src/test/java/sprucelanding/simulation/model/EndpointModelTest.java
+++ b/src/test/java/sprucelanding/simulation/model/EndpointModelTest.java
@@ -40,7 +40,7 @@
     void jobsShareCoresAndExcessJobWaitsForSlot() {
         model.start(0, 100);
         for (String job : List.of("a", "b", "c", "d")) {
-            model.submit(job, 20, false, 100);
+            model.submit(job, 20, 100);
         }
         assertTrue(model.isFull());
         runUntil(100, 200);
@@ -61,7 +61,7 @@
     @Test
     void coldEndpointStartsSlowAndHungEndpointMakesNoProgress() {
         model.start(100, 100);
-        model.submit("cold", 25, false, 100);
+        model.submit("cold", 25, 100);
         runUntil(100, 145);
         model.setHung(true);
         assertEquals(Double.POSITIVE_INFINITY, model.nextEventAt(145));
@@ -78,8 +78,8 @@
     void stolenShareReducesCapacity() {
         model.start(0, 0.5);
         model.setStolenShare(0.5);
-        model.submit("a", 20, false, 1);
-        model.submit("b", 20, false, 1);
+        model.submit("a", 20, 1);
+        model.submit("b", 20, 1);
         runUntil(1, 100);
         assertEquals(List.of("a began 1", "b began 1", "a done 41", "b done 41"), log);
     }
