--- a/src/main/java/sprucelanding/simulation/loopback/ControlChannel.java
+++ b/src/main/java/sprucelanding/simulation/loopback/ControlChannel.java
@@ -1,39 +1,48 @@
 package sprucelanding.simulation.loopback;
 
 /**
- * A proxy's side towards governors: one stream or session, by which it is told its tables. All
- * calls on its loop.
+ * A proxy's channel to a governor: one xDS stream or NETCONF session, which changes the proxy's
+ * tables. All calls on the proxy's loop.
  */
 interface ControlChannel {
-    /**
-     * ms between looks whether the governor answers at all, and ms without an answer until it
-     * counts as silent.
-     */
+    /** The ms between keepalives. */
     double KEEPALIVE_MILLIS = 1000;
 
+    /** The ms without an answer after which the governor counts as silent. */
     double KEEPALIVE_TIMEOUT_MILLIS = 1500;
 
-    /** What the proxy hears of it. */
+    /** Notified of what happens on a channel. */
     interface ControlChannelListener {
-        /** A message was put into force; voice is who wrote it, by its own word. */
+        /**
+         * A message was applied to the tables.
+         *
+         * @param kind the type of its resources
+         * @param controlPlaneId the governor that wrote it, by its own name and epoch
+         */
         void onApplied(String kind, long nonce, int entries, String controlPlaneId);
 
+        /** A message was rejected. */
         void onRejected(String kind, long nonce, String controlPlaneId);
 
+        /** The channel is lost. */
         void onBroken(String reason);
 
+        /** The acknowledgement or rejection of a message was sent. */
         void onAcknowledged(long nonce, boolean rejected);
     }
 
+    /** Connects to the governor. */
     void open();
 
+    /** Closes the channel without a callback. */
     void close();
 
-    /** It answers so many ms late. */
+    /** Acknowledgements are sent so many ms late. */
     void setResponseDelay(double millis);
 
-    /** It rejects the next messages. */
+    /** Rejects the next messages. */
     void rejectNext(int messages);
 
+    /** While reads are paused, nothing is read from the governor. */
     void setReadsPaused(boolean enabled);
 }
--- a/src/main/java/sprucelanding/simulation/loopback/DatagramRelay.java
+++ b/src/main/java/sprucelanding/simulation/loopback/DatagramRelay.java
@@ -10,7 +10,7 @@
 import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
- * The way of datagrams from one governor to another: it can be cut, and loses a share of them. All
+ * Relays datagrams from one governor to another; it can be cut, and can lose a share of them. All
  * calls on its loop.
  */
 public final class DatagramRelay {
@@ -18,6 +18,12 @@
     private final DatagramChannel channel;
     private double lossShare;
 
+    /**
+     * Creates a relay that listens on a free port.
+     *
+     * @param isOpen whether the network lets a datagram through
+     * @param seed of losses
+     */
     public DatagramRelay(
             EventLoop loop, InetSocketAddress target, BooleanSupplier isOpen, long seed) {
         this.random = new SplittableRandom(seed);
@@ -35,14 +41,16 @@
         try {
             channel.send(ByteBuffer.wrap(packet), target);
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // told by the loop
+            throw new UncheckedIOException(e); // the loop logs it
         }
     }
 
+    /** The port to send to. */
     public int port() {
         return channel.socket().getLocalPort();
     }
 
+    /** It loses this share of the datagrams, from 0 to 1. */
     public void setLossShare(double share) {
         lossShare = share;
     }
--- a/src/main/java/sprucelanding/simulation/loopback/LoadReportClient.java
+++ b/src/main/java/sprucelanding/simulation/loopback/LoadReportClient.java
@@ -21,10 +21,24 @@
 import sprucelanding.simulation.model.EndpointStats;
 
 /**
- * A proxy's load reports: what it met at each address since the last one, as often as it is asked
- * to tell.
+ * A proxy's load reports: what it observed at each endpoint since the last one, at the interval
+ * that the governor asks for (xDS load reporting service), or as NETCONF notifications. All calls
+ * on the proxy's loop; the transport's threads hand over to it.
  */
 final class LoadReportClient {
+    private static final double MIN_INTERVAL_MILLIS = 50;
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double NANOS_PER_MILLI = 1e6;
+
+    /** The cluster name of all reports: they are by endpoint. */
+    private static final String CLUSTER = "all";
+
+    /** The names of load metrics: utilization, response ms, and requests by class. */
+    private static final String UTILIZATION_METRIC = "util";
+
+    private static final String RESPONSE_MILLIS_METRIC = "answer_ms";
+    private static final String REQUESTS_METRIC_PREFIX = "txns.";
+
     private final EventLoop loop;
     private final Node node;
     private final List<String> requestClasses;
@@ -49,53 +63,59 @@
         endpointStats.computeIfAbsent(endpoint, ignored -> new EndpointStats()).attemptStarted();
     }
 
-    /** A try ended; util NaN if the answer told none. */
+    /**
+     * Counts an attempt that ended.
+     *
+     * @param utilization NaN if the response reported none
+     */
     void attemptEnded(
-            InetSocketAddress endpoint, boolean settled, double elapsedMillis, double utilization) {
+            InetSocketAddress endpoint,
+            boolean succeeded,
+            double elapsedMillis,
+            double utilization) {
         endpointStats
                 .computeIfAbsent(endpoint, ignored -> new EndpointStats())
-                .attemptEnded(settled, elapsedMillis, utilization);
+                .attemptEnded(succeeded, elapsedMillis, utilization);
     }
 
+    /** Opens the stream of a connection to a governor. */
     void open(ManagedChannel channel) {
         closed = false;
         requestStream =
-                LoadReportingServiceGrpc.newStub(channel)
-                        .streamLoadStats(
-                                new StreamObserver<>() {
-                                    @Override
-                                    public void onNext(LoadStatsResponse response) {
-                                        double intervalMillis =
-                                                response.getLoadReportingInterval().getSeconds()
-                                                                * 1e3
-                                                        + response.getLoadReportingInterval()
-                                                                        .getNanos()
-                                                                / 1e6;
-                                        loop.tryExecute(
-                                                () -> {
-                                                    reportedAt = EventLoop.nowMillis();
-                                                    scheduleReport(
-                                                            requestStream,
-                                                            Math.max(50, intervalMillis));
-                                                });
-                                    }
-
-                                    @Override
-                                    public void onError(Throwable error) {
-                                        loop.tryExecute(() -> closed = true);
-                                    }
-
-                                    @Override
-                                    public void onCompleted() {
-                                        loop.tryExecute(() -> closed = true);
-                                    }
-                                });
+                LoadReportingServiceGrpc.newStub(channel).streamLoadStats(new ResponseObserver());
         requestStream.onNext(LoadStatsRequest.newBuilder().setNode(node).build());
     }
 
+    /** Starts the reports at the interval that a response asks for. */
+    private final class ResponseObserver implements StreamObserver<LoadStatsResponse> {
+        @Override
+        public void onNext(LoadStatsResponse response) {
+            Duration interval = response.getLoadReportingInterval();
+            double intervalMillis =
+                    interval.getSeconds() * MILLIS_PER_SECOND
+                            + interval.getNanos() / NANOS_PER_MILLI;
+            loop.tryExecute(
+                    () -> {
+                        reportedAt = EventLoop.nowMillis();
+                        scheduleReport(
+                                requestStream, Math.max(MIN_INTERVAL_MILLIS, intervalMillis));
+                    });
+        }
+
+        @Override
+        public void onError(Throwable error) {
+            loop.tryExecute(() -> closed = true);
+        }
+
+        @Override
+        public void onCompleted() {
+            loop.tryExecute(() -> closed = true);
+        }
+    }
+
     /**
-     * The same as a NETCONF notification's content, by the replicas' ids; what has no id is left
-     * out.
+     * A report as the content of a NETCONF notification; counts start anew. Endpoints without an id
+     * are left out.
      */
     String notificationXml(Map<InetSocketAddress, Long> endpointIds) {
         double elapsedMillis = Math.max(1, EventLoop.nowMillis() - reportedAt);
@@ -136,6 +156,7 @@
         return text.append("</met>").toString();
     }
 
+    /** The connection is closed: no more reports. */
     void close() {
         closed = true;
         requestStream = null;
@@ -161,53 +182,50 @@
         UpstreamLocalityStats.Builder localityStats = UpstreamLocalityStats.newBuilder();
         endpointStats.forEach(
                 (endpoint, stats) ->
-                        localityStats.addUpstreamEndpointStats(
-                                UpstreamEndpointStats.newBuilder()
-                                        .setAddress(
-                                                Address.newBuilder()
-                                                        .setSocketAddress(
-                                                                SocketAddress.newBuilder()
-                                                                        .setAddress(
-                                                                                endpoint
-                                                                                        .getHostString())
-                                                                        .setPortValue(
-                                                                                endpoint
-                                                                                        .getPort())))
-                                        .setTotalIssuedRequests(stats.issued())
-                                        .setTotalSuccessfulRequests(stats.completed())
-                                        .setTotalErrorRequests(stats.failed())
-                                        .addLoadMetricStats(
-                                                metric(
-                                                        "util",
-                                                        stats.utilizationReports(),
-                                                        stats.utilizationSum()))
-                                        .addLoadMetricStats(
-                                                metric(
-                                                        "answer_ms",
-                                                        stats.completed(),
-                                                        stats.responseMillis()))));
+                        localityStats.addUpstreamEndpointStats(upstreamStats(endpoint, stats)));
         for (int requestClass = 0; requestClass < arrivals.length; requestClass++) {
             localityStats.addLoadMetricStats(
                     metric(
-                            "txns." + requestClasses.get(requestClass),
+                            REQUESTS_METRIC_PREFIX + requestClasses.get(requestClass),
                             arrivals[requestClass],
                             arrivals[requestClass]));
             arrivals[requestClass] = 0;
         }
         endpointStats.clear();
+        Duration.Builder elapsed =
+                Duration.newBuilder()
+                        .setSeconds((long) (elapsedMillis / 1000))
+                        .setNanos((int) (elapsedMillis % 1000 * NANOS_PER_MILLI));
         return LoadStatsRequest.newBuilder()
                 .setNode(node)
                 .addClusterStats(
                         ClusterStats.newBuilder()
-                                .setClusterName("all")
+                                .setClusterName(CLUSTER)
                                 .addUpstreamLocalityStats(localityStats)
-                                .setLoadReportInterval(
-                                        Duration.newBuilder()
-                                                .setSeconds((long) (elapsedMillis / 1000))
-                                                .setNanos((int) (elapsedMillis % 1000 * 1e6))))
+                                .setLoadReportInterval(elapsed))
                 .build();
     }
 
+    private static UpstreamEndpointStats.Builder upstreamStats(
+            InetSocketAddress endpoint, EndpointStats stats) {
+        SocketAddress.Builder address =
+                SocketAddress.newBuilder()
+                        .setAddress(endpoint.getHostString())
+                        .setPortValue(endpoint.getPort());
+        return UpstreamEndpointStats.newBuilder()
+                .setAddress(Address.newBuilder().setSocketAddress(address))
+                .setTotalIssuedRequests(stats.issued())
+                .setTotalSuccessfulRequests(stats.completed())
+                .setTotalErrorRequests(stats.failed())
+                .addLoadMetricStats(
+                        metric(
+                                UTILIZATION_METRIC,
+                                stats.utilizationReports(),
+                                stats.utilizationSum()))
+                .addLoadMetricStats(
+                        metric(RESPONSE_MILLIS_METRIC, stats.completed(), stats.responseMillis()));
+    }
+
     private static EndpointLoadMetricStats metric(
             String name, long finishedRequests, double total) {
         return EndpointLoadMetricStats.newBuilder()
--- /dev/null
+++ b/src/main/java/sprucelanding/simulation/loopback/RequestHeaders.java
@@ -0,0 +1,27 @@
+package sprucelanding.simulation.loopback;
+
+/** The HTTP headers of requests between clients, proxies and endpoints. */
+final class RequestHeaders {
+    /** The request's id. */
+    static final String REQUEST_ID = "x-txn";
+
+    /** The ms of work on a core of speed 1. */
+    static final String WORK = "x-work";
+
+    /** The ms until the client gives the attempt up. */
+    static final String REMAINING_MILLIS = "x-left";
+
+    /** The number of the proxy. */
+    static final String PROXY = "x-proxy";
+
+    /** The number of the proxy's attempt, from 1. */
+    static final String ATTEMPT = "x-attempt";
+
+    /** In a response: proof that the request was not executed. */
+    static final String NOT_EXECUTED = "x-unrun";
+
+    /** In a response: the load report of the endpoint (ORCA, text form). */
+    static final String LOAD_REPORT = "endpoint-load-metrics";
+
+    private RequestHeaders() {}
+}
--- a/src/main/java/sprucelanding/simulation/loopback/SimulatedClients.java
+++ b/src/main/java/sprucelanding/simulation/loopback/SimulatedClients.java
@@ -17,16 +17,20 @@
 import sprucelanding.simulation.rules.TraceEvent;
 
 /**
- * The clients of one proxy: an open loop of txns. They try again by themselves, a safe txn after
- * any failure, others only after a refusal, and give up at expiry. All calls on their loop.
+ * The clients of one proxy, an open loop over HTTP: arrivals do not wait for responses. Clients
+ * retry by a {@link ClientRetryPolicy} and give a request up at its expiry. All calls on their
+ * loop.
  */
 public final class SimulatedClients {
     /**
-     * A product as clients know it.
+     * A request class as clients know it.
      *
-     * @param share of all txns
-     * @param work mean ms
-     * @param sla ms within which an answer is in time
+     * @param name the path of its requests
+     * @param share of all requests
+     * @param meanWork mean ms of work
+     * @param slaMillis ms within which a response is in time
+     * @param expiryMillis ms after which a client gives a request up
+     * @param idempotent whether a request may be retried after any failure
      */
     public record RequestClassSpec(
             String name,
@@ -36,18 +40,37 @@
             double expiryMillis,
             boolean idempotent) {}
 
+    private static final int MAX_BUFFERED_BYTES = 65_536;
+    private static final int OK = 200;
+    private static final int UNAVAILABLE = 503;
+
+    /** The ms that must remain for another attempt. */
+    private static final double MIN_REMAINING_MILLIS = 1;
+
+    /** The ms after which the rate is looked at again. */
+    private static final double MAX_GAP_MILLIS = 1000;
+
+    private static final double MILLIS_PER_SECOND = 1000;
+    private static final double MIN_RATE = 1e-6;
+
+    /** The most work of a request, as a multiple of the mean. */
+    private static final double MAX_WORK_FACTOR = 10;
+
+    /** One request of a client, through its attempts. */
     private final class ClientRequest {
-        final long id = requestIds.incrementAndGet();
-        final int requestClass;
-        final String work;
-        final double startedAt;
-        int attempts;
-        boolean ended;
-        boolean declined;
+        private final long id = requestIds.incrementAndGet();
+        private final int requestClass;
+        private final String work;
+        private final double startedAt;
+        private int attempts;
+        private boolean ended;
+
+        /** Whether the last failure was a status 503. */
+        private boolean declined;
 
         /**
-         * It began when it was to begin, even if this loop was late: else waits would be left out
-         * of the answer time.
+         * It starts when it was planned to, even if this loop was late: otherwise its latency would
+         * leave that delay out.
          */
         ClientRequest(int requestClass, double work, double plannedAt) {
             this.requestClass = requestClass;
@@ -60,11 +83,8 @@
             attempts++;
             RequestClassSpec spec = requestClasses.get(requestClass);
             double remainingMillis = spec.expiryMillis - (EventLoop.nowMillis() - startedAt);
-            if (remainingMillis <= 1) {
-                complete(
-                        declined
-                                ? TraceEvent.RequestOutcome.DECLINED
-                                : TraceEvent.RequestOutcome.VOIDED);
+            if (remainingMillis <= MIN_REMAINING_MILLIS) {
+                complete(failureOutcome());
                 return;
             }
             ProxyConnection connection =
@@ -74,11 +94,11 @@
                     HttpParser.request(
                             "POST",
                             "/" + spec.name,
-                            "x-txn",
+                            RequestHeaders.REQUEST_ID,
                             Long.toString(id),
-                            "x-work",
+                            RequestHeaders.WORK,
                             work,
-                            "x-left",
+                            RequestHeaders.REMAINING_MILLIS,
                             String.format(
                                     Locale.ROOT,
                                     "%.1f",
@@ -86,7 +106,8 @@
                                             remainingMillis,
                                             attemptTimeoutShare * spec.expiryMillis)));
             if (connection.connection == null) {
-                connection.connection = loop.connect(proxyAddress, null, 65_536, connection);
+                connection.connection =
+                        loop.connect(proxyAddress, null, MAX_BUFFERED_BYTES, connection);
             }
             connection.connection.write(request);
             loop.schedule(
@@ -104,25 +125,26 @@
             }
             RequestClassSpec spec = requestClasses.get(requestClass);
             double elapsedMillis = EventLoop.nowMillis() - startedAt;
-            if (status == 200) {
+            if (status == OK) {
                 complete(
                         elapsedMillis <= spec.slaMillis
                                 ? TraceEvent.RequestOutcome.IN_TIME
                                 : TraceEvent.RequestOutcome.LATE);
                 return;
             }
-            declined = status == 503;
+            declined = status == UNAVAILABLE;
             if (retryPolicy.shouldRetry(
                     attempts, spec.idempotent, notExecuted, elapsedMillis, spec.expiryMillis)) {
                 loop.schedule(retryPolicy.delayMillis(random.nextDouble()), this::send);
             } else {
-                complete(
-                        declined
-                                ? TraceEvent.RequestOutcome.DECLINED
-                                : TraceEvent.RequestOutcome.VOIDED);
+                complete(failureOutcome());
             }
         }
 
+        private TraceEvent.RequestOutcome failureOutcome() {
+            return declined ? TraceEvent.RequestOutcome.DECLINED : TraceEvent.RequestOutcome.VOIDED;
+        }
+
         private void complete(TraceEvent.RequestOutcome outcome) {
             if (!ended) {
                 ended = true;
@@ -137,10 +159,11 @@
         }
     }
 
+    /** A connection to the proxy, with one request at a time. */
     private final class ProxyConnection implements TcpConnection.Listener {
-        TcpConnection connection;
-        ClientRequest request;
-        final HttpParser parser = new HttpParser(this::onResponse);
+        private TcpConnection connection;
+        private ClientRequest request;
+        private final HttpParser parser = new HttpParser(this::onResponse);
 
         @Override
         public void onReceived(TcpConnection connection, ByteBuffer input) throws IOException {
@@ -153,7 +176,8 @@
             idleConnections.push(this);
             if (finishedRequest != null) {
                 finishedRequest.onResponse(
-                        message.status(), message.headers().containsKey("x-unrun"));
+                        message.status(),
+                        message.headers().containsKey(RequestHeaders.NOT_EXECUTED));
             }
         }
 
@@ -182,9 +206,12 @@
     private boolean stopped;
 
     /**
+     * Creates clients that have not been started.
+     *
      * @param proxy the number of the proxy whose clients these are
-     * @param rate txns a second, asked anew for each
-     * @param tryShare share of expiry after which a try is given up
+     * @param requestsPerSecond asked anew for each arrival
+     * @param attemptTimeoutShare share of the expiry after which an attempt is given up
+     * @param requestIds the last id used, shared with the clients of other proxies
      */
     public SimulatedClients(
             EventLoop loop,
@@ -209,6 +236,7 @@
         this.random = new SplittableRandom(seed);
     }
 
+    /** Begins to send requests. */
     public void start() {
         scheduleNext(EventLoop.nowMillis());
     }
@@ -216,14 +244,14 @@
     private void scheduleNext(double afterMillis) {
         double gap =
                 -Math.log(1 - random.nextDouble())
-                        / Math.max(1e-6, requestsPerSecond.getAsDouble())
-                        * 1000;
-        double nextAt = afterMillis + Math.min(gap, 1000);
+                        / Math.max(MIN_RATE, requestsPerSecond.getAsDouble())
+                        * MILLIS_PER_SECOND;
+        double nextAt = afterMillis + Math.min(gap, MAX_GAP_MILLIS);
         loop.scheduleAt(
                 nextAt,
                 () -> {
                     if (!stopped) {
-                        if (gap <= 1000) {
+                        if (gap <= MAX_GAP_MILLIS) {
                             arrive(nextAt);
                         }
                         scheduleNext(nextAt);
@@ -231,6 +259,7 @@
                 });
     }
 
+    /** Sends no more new requests. */
     public void stop() {
         stopped = true;
     }
@@ -240,14 +269,12 @@
         int requestClass = 0;
         while (requestClass < requestClasses.size() - 1
                 && draw >= requestClasses.get(requestClass).share) {
-            draw -= requestClasses.get(requestClass++).share;
+            draw -= requestClasses.get(requestClass).share;
+            requestClass++;
         }
-        double work =
-                -Math.log(1 - random.nextDouble()) * requestClasses.get(requestClass).meanWork;
-        new ClientRequest(
-                        requestClass,
-                        Math.min(work, 10 * requestClasses.get(requestClass).meanWork),
-                        plannedAt)
+        double meanWork = requestClasses.get(requestClass).meanWork;
+        double work = -Math.log(1 - random.nextDouble()) * meanWork;
+        new ClientRequest(requestClass, Math.min(work, MAX_WORK_FACTOR * meanWork), plannedAt)
                 .send();
     }
 }
--- a/src/main/java/sprucelanding/simulation/loopback/SimulatedDiscovery.java
+++ b/src/main/java/sprucelanding/simulation/loopback/SimulatedDiscovery.java
@@ -21,11 +21,17 @@
 import sprucelanding.simulation.rules.TraceEvent;
 
 /**
- * The roster: tells whole lists, then changes, as server-sent events to whoever asks; late, and at
- * times wrong.
+ * Service discovery on sockets: sends the full endpoint list, then changes, as server-sent events
+ * to whoever asks for /list. Faults delay what it knows. All calls on its loop.
  */
 public final class SimulatedDiscovery {
     private static final int MAX_BUFFERED_BYTES = 8 << 20;
+    private static final int BACKLOG = 64;
+    private static final int NOT_FOUND = 404;
+
+    /** The number of a governor whose address is not registered. */
+    private static final int UNKNOWN_GOVERNOR = -1;
+
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final List<String> zones;
@@ -33,7 +39,7 @@
     private final EventTrace trace;
     private final Map<Long, ListedEndpoint> entries = new LinkedHashMap<>();
 
-    /** Streams by governor; -1 for others. */
+    /** The governor of each stream. */
     private final Map<TcpConnection, Integer> governorsByConnection = new LinkedHashMap<>();
 
     private final Map<InetAddress, Integer> governorsByAddress = new HashMap<>();
@@ -41,6 +47,7 @@
     private long version = 1;
     private double delayMillis;
 
+    /** Creates a discovery service with an empty list that does not listen yet. */
     public SimulatedDiscovery(
             EventLoop loop,
             InetSocketAddress address,
@@ -54,18 +61,20 @@
         this.trace = trace;
     }
 
-    /** Who dials from an address. */
+    /** Tells which governor connects from an address, for the trace. */
     public void registerGovernor(InetAddress from, int governor) {
         governorsByAddress.put(from, governor);
     }
 
+    /** Begins to listen. */
     public void start() {
         loop.listen(
                 address,
-                64,
+                BACKLOG,
                 channel -> {
                     int governor =
-                            governorsByAddress.getOrDefault(channel.socket().getInetAddress(), -1);
+                            governorsByAddress.getOrDefault(
+                                    channel.socket().getInetAddress(), UNKNOWN_GOVERNOR);
                     loop.register(
                             channel,
                             MAX_BUFFERED_BYTES,
@@ -92,7 +101,7 @@
 
     private void openStream(TcpConnection connection, HttpParser.Message message, int governor) {
         if (!message.targetOrStatus().equals("/list")) {
-            connection.write(HttpParser.response(404));
+            connection.write(HttpParser.response(NOT_FOUND));
             return;
         }
         connection.write(
@@ -130,22 +139,22 @@
                         .getBytes(StandardCharsets.UTF_8));
     }
 
-    /** From now on it tells what it learns so much later, in ms. */
+    /** Updates that are scheduled from now on take effect so many ms later. */
     public void setDelay(double millis) {
         delayMillis = millis;
     }
 
-    /** It learns how replicas stand; the list follows so many ms later. */
+    /** Sets the state of endpoints after so many ms. */
     public void scheduleUpdate(
-            List<SimulatedEndpoint> endpoints, ListedEndpoint.State stage, double afterMillis) {
+            List<SimulatedEndpoint> endpoints, ListedEndpoint.State state, double afterMillis) {
         if (afterMillis + delayMillis > 0) {
-            loop.schedule(afterMillis + delayMillis, () -> update(endpoints, stage));
+            loop.schedule(afterMillis + delayMillis, () -> update(endpoints, state));
         } else {
-            update(endpoints, stage);
+            update(endpoints, state);
         }
     }
 
-    private void update(List<SimulatedEndpoint> endpoints, ListedEndpoint.State stage) {
+    private void update(List<SimulatedEndpoint> endpoints, ListedEndpoint.State state) {
         List<ListedEndpoint> changes = new ArrayList<>();
         for (SimulatedEndpoint endpoint : endpoints) {
             ListedEndpoint entry =
@@ -159,12 +168,12 @@
                             endpoint.startedAt() == 0
                                     ? 0
                                     : endpoint.startedAt() + wallClockOffsetMillis,
-                            stage);
+                            state);
             ListedEndpoint previous =
-                    stage == ListedEndpoint.State.GONE
+                    state == ListedEndpoint.State.GONE
                             ? entries.remove(endpoint.id)
                             : entries.put(endpoint.id, entry);
-            if (stage != ListedEndpoint.State.GONE || previous != null) {
+            if (state != ListedEndpoint.State.GONE || previous != null) {
                 changes.add(entry);
             }
         }
--- a/src/main/java/sprucelanding/simulation/loopback/SimulatedEndpoint.java
+++ b/src/main/java/sprucelanding/simulation/loopback/SimulatedEndpoint.java
@@ -19,41 +19,44 @@
 import sprucelanding.simulation.rules.TraceEvent;
 
 /**
- * A replica: HTTP/1.1, cores shared by the txns that run, a waiting room, a cold start, its load in
- * every answer (ORCA, text form). A request is POST /PRODUCT with x-txn, x-work (ms), x-proxy and
- * x-attempt. All calls come on its loop's thread.
+ * An endpoint on sockets: HTTP/1.1 in front of an {@link EndpointModel}, with its load in every
+ * response (ORCA, text form). A request is a POST to the path of its request class with {@link
+ * RequestHeaders}; the path /probe is a health check. All calls come on its loop's thread.
  */
 public final class SimulatedEndpoint {
-    private static final class Job {
-        final TcpConnection connection;
-        final int requestClass;
-        final long requestId;
-        final int proxy;
-        final int attempt;
-        final double arrivedAt;
-
-        Job(
-                TcpConnection connection,
-                int requestClass,
-                long requestId,
-                int proxy,
-                int attempt,
-                double arrivedAt) {
-            this.connection = connection;
-            this.requestClass = requestClass;
-            this.requestId = requestId;
-            this.proxy = proxy;
-            this.attempt = attempt;
-            this.arrivedAt = arrivedAt;
-        }
-    }
+    /** A request or a health check that runs or waits. */
+    private record Job(
+            TcpConnection connection,
+            int requestClass,
+            long requestId,
+            int proxy,
+            int attempt,
+            double arrivedAt) {}
+
+    /** As request class of a job: a health check. */
+    private static final int HEALTH_CHECK = -1;
+
+    private static final String HEALTH_CHECK_PATH = "/probe";
+    private static final int UNKNOWN = -1;
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int INTERNAL_ERROR = 500;
+    private static final int UNAVAILABLE = 503;
 
     private static final int MAX_BUFFERED_BYTES = 65_536;
 
+    /** Its id in discovery. */
     public final long id;
+
+    /** The index of its zone. */
     public final int zone;
+
+    /** The index of its kind. */
     public final int kind;
+
+    /** What it can do. */
     public final EndpointModel.Capacity capacity;
+
     private final EndpointModel<Job> model;
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -66,10 +69,19 @@
     private double startedAt;
     private EventLoop.Timer nextAdvance;
     private double failureShare;
-    private int ignoredZone = -1;
+    private int ignoredZone = UNKNOWN;
+
+    /** Set by a fault; 0: as many as its capacity says. */
     private int connectionLimit;
+
     private long servedRequests;
 
+    /**
+     * Creates an endpoint that has not been started.
+     *
+     * @param address where it listens
+     * @param network decides which zones reach it
+     */
     public SimulatedEndpoint(
             EventLoop loop,
             long id,
@@ -87,52 +99,59 @@
         this.kind = kind;
         this.address = address;
         this.capacity = capacity;
-        this.model =
-                new EndpointModel<>(
-                        capacity,
-                        new EndpointModel.JobListener<>() {
-                            @Override
-                            public void onStarted(Job job, double now) {
-                                if (job.requestClass >= 0) {
-                                    trace.record(
-                                            new TraceEvent.Executed(
-                                                    now,
-                                                    SimulatedEndpoint.this.id,
-                                                    job.requestClass,
-                                                    job.requestId,
-                                                    job.proxy,
-                                                    job.attempt));
-                                }
-                            }
-
-                            @Override
-                            public void onCompleted(Job job, double now) {
-                                respond(job, now);
-                            }
-                        });
+        this.model = new EndpointModel<>(capacity, new CompletionListener());
         this.requestClasses = requestClasses;
         this.network = network;
         this.trace = trace;
         this.random = new SplittableRandom(seed);
     }
 
+    /** Records the jobs that start, and responds to those that end. */
+    private final class CompletionListener implements EndpointModel.JobListener<Job> {
+        @Override
+        public void onStarted(Job job, double now) {
+            if (job.requestClass != HEALTH_CHECK) {
+                trace.record(
+                        new TraceEvent.Executed(
+                                now, id, job.requestClass, job.requestId, job.proxy, job.attempt));
+            }
+        }
+
+        @Override
+        public void onCompleted(Job job, double now) {
+            if (job.requestClass != HEALTH_CHECK) {
+                servedRequests++;
+                model.recordServiceTime(now - job.arrivedAt);
+            }
+            respond(job.connection, OK);
+        }
+    }
+
+    /** Where it listens. */
     public InetSocketAddress address() {
         return address;
     }
 
+    /** Whether its process runs. */
     public boolean isUp() {
         return server != null;
     }
 
-    /** When its process began, on the loop's clock; 0: long before the day. */
+    /** When its process started, on the loop's clock; 0 for long ago. */
     public double startedAt() {
         return startedAt;
     }
 
+    /** Requests that it has executed. */
     public long servedRequests() {
         return servedRequests;
     }
 
+    /**
+     * Starts its process, unless it runs.
+     *
+     * @param coldStart whether it has to warm up
+     */
     public void start(boolean coldStart) {
         if (server != null) {
             return;
@@ -163,24 +182,24 @@
         connections.clear();
         model.start(0, EventLoop.nowMillis());
         failureShare = 0;
-        ignoredZone = -1;
+        ignoredZone = UNKNOWN;
     }
 
-    /** It takes txns and answers none. */
+    /** While it hangs, it takes requests and answers none. */
     public void setHung(boolean enabled) {
         advance();
         model.setHung(enabled);
         scheduleAdvance();
     }
 
-    /** Its cores run so many times slower. */
+    /** Its cores run slower by this factor. */
     public void setSlowdown(double factor) {
         advance();
         model.setSlowdown(factor);
         scheduleAdvance();
     }
 
-    /** It fails this share of its txns at once. */
+    /** It fails this share of its requests at once. */
     public void setFailureShare(double share) {
         failureShare = share;
     }
@@ -192,21 +211,19 @@
         scheduleAdvance();
     }
 
+    /** While it is paused, no request makes progress. */
     public void setPaused(boolean enabled) {
         advance();
         model.setPaused(enabled);
         scheduleAdvance();
     }
 
-    /**
-     * It hears nothing from this zone, though no other party of the zone is cut off; -1: it hears
-     * all.
-     */
+    /** It receives nothing from this zone; below 0: it receives from all. */
     public void ignoreZone(int zone) {
         ignoredZone = zone;
     }
 
-    /** It accepts so many connections at most; 0: as many as its machine says. */
+    /** The most connections that it accepts; 0: as many as its capacity says. */
     public void setConnectionLimit(int limit) {
         connectionLimit = limit;
     }
@@ -226,11 +243,7 @@
                             public void onReceived(TcpConnection connection, ByteBuffer input)
                                     throws IOException {
                                 own = connection;
-                                if (network.isOpen(from, zone)
-                                        && (ignoredZone < 0
-                                                || network.zoneOf(from)
-                                                        != ignoredZone)) { // across a cut nothing
-                                    // arrives, and nobody says so
+                                if (isReachableFrom(from)) {
                                     http.parse(input);
                                 }
                             }
@@ -247,6 +260,12 @@
         }
     }
 
+    /** Across a cut nothing arrives, and nobody is told so. */
+    private boolean isReachableFrom(InetAddress from) {
+        return network.isOpen(from, zone)
+                && (ignoredZone < 0 || network.zoneOf(from) != ignoredZone);
+    }
+
     private String loadReport() {
         return String.format(
                 Locale.ROOT,
@@ -259,22 +278,17 @@
 
     private void handleRequest(TcpConnection connection, HttpParser.Message message) {
         advance();
-        if (message.targetOrStatus().equals("/probe")) {
-            if (model.isResponsive()) {
-                model.submitHealthCheck(
-                        new Job(connection, -1, 0, -1, 0, EventLoop.nowMillis()),
-                        EventLoop.nowMillis());
-                scheduleAdvance();
-            }
+        if (message.targetOrStatus().equals(HEALTH_CHECK_PATH)) {
+            handleHealthCheck(connection);
             return;
         }
         int requestClass = requestClasses.indexOf(message.targetOrStatus().substring(1));
-        long requestId = (long) message.numberHeader("x-txn", -1);
-        double work = message.numberHeader("x-work", -1);
-        int proxy = (int) message.numberHeader("x-proxy", -1);
-        int attempt = (int) message.numberHeader("x-attempt", 0);
+        long requestId = (long) message.numberHeader(RequestHeaders.REQUEST_ID, UNKNOWN);
+        double work = message.numberHeader(RequestHeaders.WORK, UNKNOWN);
+        int proxy = (int) message.numberHeader(RequestHeaders.PROXY, UNKNOWN);
+        int attempt = (int) message.numberHeader(RequestHeaders.ATTEMPT, 0);
         if (requestClass < 0 || requestId < 0 || !(work >= 0)) {
-            connection.write(HttpParser.response(400));
+            connection.write(HttpParser.response(BAD_REQUEST));
             return;
         }
         double now = EventLoop.nowMillis();
@@ -284,29 +298,42 @@
             return;
         }
         if (random.nextDouble() < failureShare) {
-            connection.write(HttpParser.response(500, "endpoint-load-metrics", loadReport()));
+            respond(connection, INTERNAL_ERROR);
             return;
         }
-        if (model.isFull()) { // proof that it never ran
-            connection.write(
-                    HttpParser.response(
-                            503, "x-unrun", "1", "endpoint-load-metrics", loadReport()));
+        if (model.isFull()) {
+            rejectUnexecuted(connection);
             return;
         }
         model.submit(new Job(connection, requestClass, requestId, proxy, attempt, now), work, now);
         scheduleAdvance();
     }
 
-    private void advance() {
-        model.advance(EventLoop.nowMillis());
+    private void handleHealthCheck(TcpConnection connection) {
+        if (model.isResponsive()) {
+            double now = EventLoop.nowMillis();
+            model.submitHealthCheck(new Job(connection, HEALTH_CHECK, 0, UNKNOWN, 0, now), now);
+            scheduleAdvance();
+        }
     }
 
-    private void respond(Job job, double now) {
-        if (job.requestClass >= 0) {
-            servedRequests++;
-            model.recordServiceTime(now - job.arrivedAt);
-        }
-        job.connection.write(HttpParser.response(200, "endpoint-load-metrics", loadReport()));
+    private void respond(TcpConnection connection, int status) {
+        connection.write(HttpParser.response(status, RequestHeaders.LOAD_REPORT, loadReport()));
+    }
+
+    /** Rejects a request with proof that it was not executed. */
+    private void rejectUnexecuted(TcpConnection connection) {
+        connection.write(
+                HttpParser.response(
+                        UNAVAILABLE,
+                        RequestHeaders.NOT_EXECUTED,
+                        "1",
+                        RequestHeaders.LOAD_REPORT,
+                        loadReport()));
+    }
+
+    private void advance() {
+        model.advance(EventLoop.nowMillis());
     }
 
     private void scheduleAdvance() {
--- a/src/main/java/sprucelanding/simulation/loopback/StreamRelay.java
+++ b/src/main/java/sprucelanding/simulation/loopback/StreamRelay.java
@@ -3,6 +3,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
+import java.util.Arrays;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
@@ -10,12 +11,15 @@
 import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
- * A wire between proxies of a zone and a governor: it can be silent, as across a cut, or break in
- * mid-update.
+ * Relays TCP connections from the proxies of a zone to a governor. Faults make it silent, as a
+ * network cut does, or break a connection in the middle of an update. All calls on its loop.
  */
 public final class StreamRelay {
     private static final int MAX_BUFFERED_BYTES = 1 << 20;
+    private static final int BACKLOG = 512;
+    private static final int NO_BREAK = -1;
 
+    /** The two connections of a relayed one. */
     private static final class RelayedConnection {
         TcpConnection downstream;
         TcpConnection upstream;
@@ -26,9 +30,18 @@
     private final BooleanSupplier isOpen;
     private final Set<RelayedConnection> connections = new HashSet<>();
     private final int port;
-    private int bytesUntilBreak = -1;
+
+    /** Bytes to proxies until a connection breaks; below 0: none does. */
+    private int bytesUntilBreak = NO_BREAK;
+
     private boolean silent;
 
+    /**
+     * Creates a relay that listens on a free port.
+     *
+     * @param target the governor
+     * @param isOpen whether the network lets it through; see {@link #updatePaused}
+     */
     public StreamRelay(EventLoop loop, InetSocketAddress target, BooleanSupplier isOpen) {
         this.loop = loop;
         this.target = target;
@@ -37,7 +50,7 @@
                 loop.localPort(
                         loop.listen(
                                 new InetSocketAddress("127.0.0.1", 0),
-                                512,
+                                BACKLOG,
                                 channel -> {
                                     RelayedConnection pair = new RelayedConnection();
                                     connections.add(pair);
@@ -56,22 +69,23 @@
                                 }));
     }
 
+    /** The port to connect to. */
     public int port() {
         return port;
     }
 
-    /** The next stream that brings a proxy this many more bytes breaks right there. */
+    /** The connection that brings proxies this many more bytes breaks right there. */
     public void setBreakAfter(int bytes) {
         bytesUntilBreak = bytes;
     }
 
-    /** Nothing passes, and nobody says so. */
+    /** While it is silent, nothing passes, and no connection ends. */
     public void setSilent(boolean enabled) {
         silent = enabled;
         updatePaused();
     }
 
-    /** To be called when what open asks has changed: silent connections go on. */
+    /** To be called when the network was cut or opened: pauses or resumes all connections. */
     public void updatePaused() {
         boolean paused = silent || !isOpen.getAsBoolean();
         connections.forEach(
@@ -83,6 +97,7 @@
                 });
     }
 
+    /** Resets all connections. */
     public void breakAll() {
         Set.copyOf(connections).forEach(pair -> pair.downstream.reset());
     }
@@ -105,8 +120,8 @@
                 TcpConnection other = fromDownstream ? pair.upstream : pair.downstream;
                 if (!fromDownstream && bytesUntilBreak >= 0) {
                     if (bytes.length > bytesUntilBreak) {
-                        pair.downstream.write(java.util.Arrays.copyOf(bytes, bytesUntilBreak));
-                        bytesUntilBreak = -1;
+                        pair.downstream.write(Arrays.copyOf(bytes, bytesUntilBreak));
+                        bytesUntilBreak = NO_BREAK;
                         pair.downstream.reset();
                         return;
                     }
