--- a/src/main/java/sprucelanding/simulation/emulator/EmulatedClients.java
+++ b/src/main/java/sprucelanding/simulation/emulator/EmulatedClients.java
@@ -6,34 +6,45 @@
 import sprucelanding.simulation.scenario.Scenario;
 
 /**
- * One proxy's clients, an open loop: they try again by themselves, a safe txn after any failure,
- * others only with proof that nothing ran, and give up at expiry.
+ * The clients of one proxy, an open loop: arrivals do not wait for responses. Clients retry by a
+ * {@link ClientRetryPolicy} and give a request up at its expiry.
  */
 final class EmulatedClients {
-    private final class ClientRequest implements EmulatedProxy.ResponseListener {
-        final long id = world.nextRequestId();
-        final int requestClass;
-        final double work;
-        final double startedAt = world.clock.now();
+    private static final int OK = 200;
+    private static final int UNAVAILABLE = 503;
+
+    /** The ms that must remain for another attempt. */
+    private static final double MIN_REMAINING_MILLIS = 1;
+
+    /** One request of a client, through its attempts. */
+    private final class ClientRequest implements RequestForwarder.ResponseListener {
+        private final long id = fleet.nextRequestId();
+        private final int requestClass;
+        private final double work;
+        private final double startedAt = fleet.clock.now();
         private final VirtualClock.ScheduledTask expiry;
-        int attempts;
-        int latestAttempt;
-        boolean ended;
-        boolean declined;
+        private int attempts;
+
+        /** Responses of earlier attempts come too late. */
+        private int latestAttempt;
+
+        private boolean ended;
+
+        /** Whether the last failure was a status 503. */
+        private boolean declined;
 
         ClientRequest(int requestClass, double work) {
             this.requestClass = requestClass;
             this.work = work;
-            world.record(
+            fleet.record(
                     new TraceEvent.RequestArrived(startedAt, proxy.number, requestClass, id, work));
             expiry =
-                    world.clock.scheduleAfter(
-                            requestClassSpec().expiry(),
-                            () -> complete(TraceEvent.RequestOutcome.VOIDED));
+                    fleet.clock.scheduleAfter(
+                            settings().expiry(), () -> complete(TraceEvent.RequestOutcome.VOIDED));
         }
 
-        private Scenario.RequestClassSettings requestClassSpec() {
-            return world.scenario.products().get(requestClass);
+        private Scenario.RequestClassSettings settings() {
+            return fleet.scenario.products().get(requestClass);
         }
 
         void send() {
@@ -41,13 +52,10 @@
                 return;
             }
             attempts++;
-            double now = world.clock.now();
-            double remainingMillis = requestClassSpec().expiry() - (now - startedAt);
-            if (remainingMillis <= 1) {
-                complete(
-                        declined
-                                ? TraceEvent.RequestOutcome.DECLINED
-                                : TraceEvent.RequestOutcome.VOIDED);
+            double now = fleet.clock.now();
+            double remainingMillis = settings().expiry() - (now - startedAt);
+            if (remainingMillis <= MIN_REMAINING_MILLIS) {
+                complete(failureOutcome());
                 return;
             }
             int attempt = ++latestAttempt;
@@ -63,8 +71,7 @@
                     now
                             + Math.min(
                                     remainingMillis,
-                                    world.scenario.clients().tryShare()
-                                            * requestClassSpec().expiry()));
+                                    fleet.scenario.clients().tryShare() * settings().expiry()));
         }
 
         @Override
@@ -72,75 +79,80 @@
             if (ended) {
                 return;
             }
-            double elapsedMillis = world.clock.now() - startedAt;
-            if (status == 200) {
+            double elapsedMillis = fleet.clock.now() - startedAt;
+            if (status == OK) {
                 complete(
-                        elapsedMillis <= requestClassSpec().sla()
+                        elapsedMillis <= settings().sla()
                                 ? TraceEvent.RequestOutcome.IN_TIME
                                 : TraceEvent.RequestOutcome.LATE);
                 return;
             }
-            declined = status == 503;
+            declined = status == UNAVAILABLE;
             if (retryPolicy.shouldRetry(
                     attempts,
-                    world.isIdempotent(requestClass),
+                    fleet.isIdempotent(requestClass),
                     notExecuted,
                     elapsedMillis,
-                    requestClassSpec().expiry())) {
-                world.clock.scheduleAfter(
+                    settings().expiry())) {
+                fleet.clock.scheduleAfter(
                         retryPolicy.delayMillis(retryRandom.nextDouble()), this::send);
             } else {
-                complete(
-                        declined
-                                ? TraceEvent.RequestOutcome.DECLINED
-                                : TraceEvent.RequestOutcome.VOIDED);
+                complete(failureOutcome());
             }
         }
 
+        private TraceEvent.RequestOutcome failureOutcome() {
+            return declined ? TraceEvent.RequestOutcome.DECLINED : TraceEvent.RequestOutcome.VOIDED;
+        }
+
         private void complete(TraceEvent.RequestOutcome outcome) {
             if (!ended) {
                 ended = true;
                 expiry.cancel();
-                world.record(
+                fleet.record(
                         new TraceEvent.RequestEnded(
-                                world.clock.now(),
+                                fleet.clock.now(),
                                 requestClass,
                                 id,
                                 outcome,
-                                world.clock.now() - startedAt));
+                                fleet.clock.now() - startedAt));
             }
         }
     }
 
-    private final EmulatedFleet world;
+    private final EmulatedFleet fleet;
     private final EmulatedProxy proxy;
     private final Demand demand;
     private final ClientRetryPolicy retryPolicy;
     private final SplittableRandom retryRandom;
 
-    EmulatedClients(EmulatedFleet world, EmulatedProxy proxy, Demand demand, long seed) {
-        this.world = world;
+    EmulatedClients(EmulatedFleet fleet, EmulatedProxy proxy, Demand demand, long seed) {
+        this.fleet = fleet;
         this.proxy = proxy;
         this.demand = demand;
-        this.retryPolicy = world.scenario.clients().retryPolicy();
+        this.retryPolicy = fleet.scenario.clients().retryPolicy();
         this.retryRandom = new SplittableRandom(seed);
     }
 
     void start() {
-        scheduleNext(world.clock.now());
+        scheduleNext(fleet.clock.now());
     }
 
     private void scheduleNext(double afterMillis) {
-        Demand.Arrival arrival = demand.nextArrival(afterMillis - world.startsAt(), world.rate());
-        if (arrival != null && arrival.at() + world.startsAt() <= world.endsAt()) {
-            world.clock.schedule(
-                    arrival.at() + world.startsAt(),
-                    () -> {
-                        if (arrival.requestClass() >= 0) {
-                            new ClientRequest(arrival.requestClass(), arrival.work()).send();
-                        }
-                        scheduleNext(arrival.at() + world.startsAt());
-                    });
+        double startsAt = fleet.startsAt();
+        Demand.Arrival arrival =
+                demand.nextArrival(afterMillis - startsAt, fleet.requestRateFactor());
+        if (arrival == null || arrival.at() + startsAt > fleet.endsAt()) {
+            return;
         }
+        double arrivesAt = arrival.at() + startsAt;
+        fleet.clock.schedule(
+                arrivesAt,
+                () -> {
+                    if (!arrival.isEmpty()) {
+                        new ClientRequest(arrival.requestClass(), arrival.work()).send();
+                    }
+                    scheduleNext(arrivesAt);
+                });
     }
 }
