--- a/src/main/java/sprucelanding/front/xds/ResponseWriters.java
+++ b/src/main/java/sprucelanding/front/xds/ResponseWriters.java
@@ -37,9 +37,14 @@
         return writers[proxyId % THREADS].tasks.offer(task);
     }
 
+    /** No thread takes another task. */
+    void stopTakingTasks() {
+        closed = true;
+    }
+
     @Override
     public void close() {
-        closed = true;
+        stopTakingTasks();
         for (Writer writer : writers) {
             writer.thread.interrupt();
         }
--- a/src/main/java/sprucelanding/front/xds/XdsFront.java
+++ b/src/main/java/sprucelanding/front/xds/XdsFront.java
@@ -197,8 +197,9 @@
     @Override
     public void close() {
         notifier.close();
-        writers.close();
+        writers.stopTakingTasks();
         server.shutdownNow();
+        writers.close();
         acceptGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         workerGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/src/test/java/sprucelanding/architecture/PackagesTest.java
+++ b/src/test/java/sprucelanding/architecture/PackagesTest.java
@@ -92,7 +92,11 @@
                     layer("replay", REPLAY).accessedBy("scenario", "emulator", "cli"),
                     layer("governor", "sprucelanding.runtime.governor")
                             .accessedBy("fronts", "cli", "scenario"),
-                    layer("fronts", "sprucelanding.front.xds", "sprucelanding.front.netconf")
+                    layer(
+                                    "fronts",
+                                    "sprucelanding.front",
+                                    "sprucelanding.front.xds",
+                                    "sprucelanding.front.netconf")
                             .accessedBy("cli", "scenario"),
                     layer("governor configuration", "sprucelanding.config.governor")
                             .accessedBy("emulator", "expectation", "cli"),
