--- a/src/test/java/sprucelanding/architecture/PackagesTest.java
+++ b/src/test/java/sprucelanding/architecture/PackagesTest.java
@@ -120,6 +120,8 @@
                                     "sprucelanding.simulation.simulator",
                                     "sprucelanding.runtime.server")
                             .accessedBy("cli"),
+                    layer("process", "sprucelanding.simulation.process")
+                            .accessedBy("scenario", "soak"),
                     layer("soak", "sprucelanding.simulation.soak").accessedBy("cli"),
                     layer("cli", CLI));
 
