--- a/src/main/java/sprucelanding/runtime/server/ConnectionListener.java
+++ b/src/main/java/sprucelanding/runtime/server/ConnectionListener.java
@@ -1,5 +1,7 @@
 package sprucelanding.runtime.server;
 
+import sprucelanding.runtime.eventloop.EventLoop;
+
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.SocketChannel;
@@ -8,7 +10,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
  * Where proxies and collectors connect. Whoever has not joined in time is refused, and the oldest
@@ -110,20 +111,18 @@
         if (rejectedCount - rejectedLogged >= 100
                 || droppedMessages - droppedMessagesLogged >= 100) {
             eventLog.log(
-                    rejectedCount
-                            + " connections refused, "
-                            + droppedMessages
-                            + " messages dropped so far");
+                    new LogLine(ServerEvent.REJECTION_TOTALS)
+                            .with("connections_rejected", rejectedCount)
+                            .with("messages_dropped", droppedMessages));
             rejectedLogged = rejectedCount;
             droppedMessagesLogged = droppedMessages;
         }
         if (!endedStreamsByReason.isEmpty()
                 && nowMillis - endedLoggedAtMillis >= ENDED_LOG_INTERVAL_MILLIS) {
             eventLog.log(
-                    "event=streams_ended open="
-                            + proxyStreams.size()
-                            + " reasons="
-                            + endedStreamsByReason);
+                    new LogLine(ServerEvent.STREAMS_ENDED)
+                            .with("open", proxyStreams.size())
+                            .with("reasons", endedStreamsByReason.toString()));
             endedStreamsByReason.clear();
             endedLoggedAtMillis = nowMillis;
         }
@@ -159,13 +158,13 @@
         closing.add(connection);
         connection.transport.finish(REJECT_LINGER_MILLIS);
         if (rejectedCount++ == 0) {
-            eventLog.log("a connection is refused: " + reason);
+            eventLog.log(ServerEvent.CONNECTION_REJECTED, reason);
         }
     }
 
     void messageDropped(String reason) {
         if (droppedMessages++ == 0) {
-            eventLog.log("a message is dropped: " + reason);
+            eventLog.log(ServerEvent.MESSAGE_DROPPED, reason);
         }
     }
 
--- a/src/main/java/sprucelanding/runtime/server/ControllerHost.java
+++ b/src/main/java/sprucelanding/runtime/server/ControllerHost.java
@@ -2,10 +2,7 @@
 
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import java.util.BitSet;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
+
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
@@ -17,6 +14,11 @@
 import sprucelanding.control.settings.SettingsReader;
 import sprucelanding.runtime.eventloop.EventLoop;
 
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
 /**
  * Where all that is heard comes to the decision module, and its orders go out. Inputs only note;
  * the module decides at most once a tick, and what it orders then is one moment. The module's clock
@@ -35,6 +37,9 @@
         void fail(String reason);
     }
 
+    /** Words by which the soak finds failed decisions in the log. */
+    static final String DECISION_FAILED_TEXT = "a decision failed";
+
     private final EventLoop loop;
     private final EventLog eventLog;
     private final RoutingController controller;
@@ -102,7 +107,9 @@
                 continue;
             }
         } catch (RuntimeException e) {
-            eventLog.logFailure("a decision failed", e);
+            eventLog.logFailure(
+                    new LogLine(ServerEvent.DECISION_FAILED).withText("text", DECISION_FAILED_TEXT),
+                    e);
         }
         encoder.beginBatch();
         distributor.flush(this::sendUpdate);
@@ -121,7 +128,8 @@
         try {
             stream.write(encoder.encode(update), update.acknowledgementId());
         } catch (RuntimeException e) {
-            eventLog.logFailure("event=update_failed proxy=" + update.proxyId(), e);
+            eventLog.logFailure(
+                    new LogLine(ServerEvent.UPDATE_FAILED).with("proxy", update.proxyId()), e);
             stream.fail("an update that cannot be written");
         }
     }
@@ -129,7 +137,9 @@
     private void logRejectedEntries() {
         if (distributor.rejectedEntries() > rejectedEntriesLogged) {
             rejectedEntriesLogged = distributor.rejectedEntries();
-            eventLog.log("event=guard_refused_line total=" + rejectedEntriesLogged);
+            eventLog.log(
+                    new LogLine(ServerEvent.GUARD_REFUSED_LINE)
+                            .with("total", rejectedEntriesLogged));
         }
     }
 
@@ -137,17 +147,16 @@
     boolean applyEndpointList(JsonObject list, boolean fromLastRun) {
         boolean complete = endpoints.applyList(list, fromLastRun, unixMillis(), beginInput());
         eventLog.log(
-                "event=endpoints_changed rev="
-                        + endpoints.revision()
-                        + " whole="
-                        + list.get("all")
-                        + " entries="
-                        + list.get("targets").asArray().size()
-                        + " ready="
-                        + endpoints.readyCount());
+                new LogLine(ServerEvent.ENDPOINTS_CHANGED)
+                        .with("rev", endpoints.revision())
+                        .with("whole", list.get("all").toString())
+                        .with("entries", list.get("targets").asArray().size())
+                        .with("ready", endpoints.readyCount()));
         if (endpoints.clockErrorMillis() != clockErrorLoggedMillis) {
             clockErrorLoggedMillis = endpoints.clockErrorMillis();
-            eventLog.log("event=clock_corrected ahead_ms=" + Math.round(clockErrorLoggedMillis));
+            eventLog.log(
+                    new LogLine(ServerEvent.CLOCK_CORRECTED)
+                            .with("ahead_ms", Math.round(clockErrorLoggedMillis)));
         }
         if (endpoints.removeGone(unixMillis(), distributor::hasEntryFor)) {
             distributor.forget(endpoint -> endpoints.find(endpoint.id) == null);
@@ -281,6 +290,6 @@
 
     @Override
     public void log(DecisionEvent event) {
-        eventLog.log(event.logLine());
+        eventLog.log(event);
     }
 }
--- a/src/main/java/sprucelanding/runtime/server/DiscoveredEndpoint.java
+++ b/src/main/java/sprucelanding/runtime/server/DiscoveredEndpoint.java
@@ -1,8 +1,9 @@
 package sprucelanding.runtime.server;
 
-import java.net.InetSocketAddress;
 import sprucelanding.control.decision.EndpointState;
 
+import java.net.InetSocketAddress;
+
 /** A replica as discovery names it. */
 final class DiscoveredEndpoint {
     final long id;
--- a/src/main/java/sprucelanding/runtime/server/DiscoveryWatch.java
+++ b/src/main/java/sprucelanding/runtime/server/DiscoveryWatch.java
@@ -2,15 +2,17 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
+
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.HttpParser;
+import sprucelanding.runtime.eventloop.TcpConnection;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import sprucelanding.runtime.eventloop.EventLoop;
-import sprucelanding.runtime.eventloop.HttpParser;
-import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
  * The watch on discovery: dialled again whenever it breaks or falls silent, from the last list that
@@ -89,10 +91,13 @@
     private void updateAvailability(boolean nowAvailable, String reason) {
         if (available != nowAvailable) {
             available = nowAvailable;
-            eventLog.log(
-                    nowAvailable
-                            ? "watches discovery from revision " + listHandler.revision()
-                            : "discovery lost: " + reason);
+            if (nowAvailable) {
+                eventLog.log(
+                        new LogLine(ServerEvent.DISCOVERY_CONNECTED)
+                                .with("revision", listHandler.revision()));
+            } else {
+                eventLog.log(ServerEvent.DISCOVERY_LOST, reason);
+            }
         }
     }
 
@@ -162,10 +167,10 @@
                     fullListNeeded = false;
                     return;
                 }
-                eventLog.log("part of discovery's list cannot be read: asked for anew");
+                eventLog.log(ServerEvent.DISCOVERY_LIST_INCOMPLETE);
             } catch (RuntimeException
                     | StackOverflowError e) { // whatever it was: this list has not come into force
-                eventLog.log("discovery's list cannot be read: " + e.getMessage());
+                eventLog.log(ServerEvent.DISCOVERY_LIST_UNUSABLE, e.getMessage());
             }
             fullListNeeded = true;
             connection.close("spoilt");
--- a/src/main/java/sprucelanding/runtime/server/GovernorServer.java
+++ b/src/main/java/sprucelanding/runtime/server/GovernorServer.java
@@ -1,15 +1,18 @@
 package sprucelanding.runtime.server;
 
 import com.eclipsesource.json.JsonObject;
+
+import sprucelanding.control.settings.MalformedInputException;
+import sprucelanding.control.settings.SettingsReader;
+import sprucelanding.runtime.eventloop.EventLoop;
+
+import sun.misc.Signal;
+
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
 import java.util.Map;
-import sprucelanding.control.settings.MalformedInputException;
-import sprucelanding.control.settings.SettingsReader;
-import sprucelanding.runtime.eventloop.EventLoop;
-import sun.misc.Signal;
 
 /** One governor in service: reads where it is posted, then runs until it is ended. */
 public final class GovernorServer {
@@ -21,22 +24,22 @@
      */
     public static int run(Map<String, String> environment, PrintStream err) {
         EventLog eventLog = new EventLog(err, EventLoop::nowMillis);
-        EventLoop loop = new EventLoop("serve", eventLog::logFailure);
+        EventLoop loop = new EventLoop("serve", eventLog::logLoopError);
         ConfigReloader reloader = new ConfigReloader();
         Signal.handle(new Signal("HUP"), signal -> loop.tryExecute(reloader::reload));
         Signal.handle(new Signal("TERM"), signal -> Runtime.getRuntime().halt(0));
         String configFile = environment.get("NODE_CONFIG");
         if (configFile == null) {
-            err.println("sprucelanding: NODE_CONFIG is not set");
+            eventLog.logStartFailure("NODE_CONFIG is not set");
             return 2;
         }
         try {
             start(loop, eventLog, Path.of(configFile), reloader);
         } catch (MalformedInputException | IOException e) {
-            err.println("sprucelanding: " + configFile + ": " + e.getMessage());
+            eventLog.logStartFailure(configFile + ": " + e.getMessage());
             return 2;
         } catch (UncheckedIOException e) {
-            err.println("sprucelanding: " + e.getMessage() + ": " + e.getCause().getMessage());
+            eventLog.logStartFailure(e.getMessage() + ": " + e.getCause().getMessage());
             return 2;
         }
         loop.run();
@@ -66,7 +69,7 @@
             try {
                 host.applyEndpointList(config.lastKnownList(), true);
             } catch (MalformedInputException e) {
-                eventLog.log("known: " + e.getMessage());
+                eventLog.log(ServerEvent.KNOWN_LIST_UNUSABLE, e.getMessage());
             }
         }
         DiscoveryWatch watch =
@@ -89,11 +92,9 @@
                 () -> {
                     try {
                         watch.moveTo(NodeConfig.read(configFile).discoveryAddress());
-                        eventLog.log("posting read again");
+                        eventLog.log(ServerEvent.CONFIG_RELOADED);
                     } catch (MalformedInputException | IOException e) {
-                        eventLog.log(
-                                "the posting cannot be used, the one before stays in force: "
-                                        + e.getMessage());
+                        eventLog.log(ServerEvent.CONFIG_RELOAD_FAILED, e.getMessage());
                     }
                 };
         watch.start();
@@ -101,7 +102,10 @@
                 new ConnectionListener(
                         loop, host, eventLog, settings.proxyCount(), config.maxDescriptors());
         listener.start(config.listenAddress());
-        eventLog.log(config.name() + " serves at " + config.listenAddress());
+        eventLog.log(
+                new LogLine(ServerEvent.GOVERNOR_STARTED)
+                        .withText("name", config.name())
+                        .with("address", config.listenAddress().toString()));
         return listener;
     }
 }
--- a/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
+++ b/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
@@ -8,6 +8,13 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+import sprucelanding.control.settings.SettingsReader;
+import sprucelanding.runtime.eventloop.EventLoop;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -23,10 +30,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import sprucelanding.control.settings.SettingsReader;
-import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
  * What is still owed when something ends, on real sockets, the order of events forced; afterwards
@@ -41,7 +44,9 @@
             ServerHarness.Peer peer =
                     harness.connect()
                             .send("noise\n" + "x".repeat(60_000)); // far more than is read at once
-            for (int i = 0; i < 1500 && !harness.hasLogged("a connection is refused"); i++) {
+            for (int i = 0;
+                    i < 1500 && !harness.hasLogged("event=connection_rejected reason=");
+                    i++) {
                 Thread.sleep(10);
             }
             for (int i = 0;
@@ -61,7 +66,9 @@
     void rejectedConnectionThatNeverClosesReleasesItsDescriptor() throws Exception {
         try (ServerHarness harness = new ServerHarness(folder)) {
             harness.connect().send("noise\n");
-            for (int i = 0; i < 1500 && !harness.hasLogged("a connection is refused"); i++) {
+            for (int i = 0;
+                    i < 1500 && !harness.hasLogged("event=connection_rejected reason=");
+                    i++) {
                 Thread.sleep(10);
             }
             for (int i = 0;
@@ -282,7 +289,8 @@
                                                 new ServerHarness.Peer(server.accept());
                                         requests.add(peer.readLine());
                                         peer.send(
-                                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                                "HTTP/1.1 200 OK\r\n"
+                                                    + "Transfer-Encoding: chunked\r\n\r\n"
                                                         + ServerHarness.chunk(
                                                                 ServerHarness.list(7, true)));
                                     }
--- a/src/test/java/sprucelanding/runtime/server/GovernorServerTest.java
+++ b/src/test/java/sprucelanding/runtime/server/GovernorServerTest.java
@@ -5,6 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -14,10 +19,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
 
 class GovernorServerTest {
     @TempDir Path folder;
@@ -48,7 +49,9 @@
             }
             assertNotNull(peer.readUntil("full"));
             peer.send(
-                    "{\"msg\":\"usage\",\"sidecar\":3,\"kind\":\"read\",\"n\":19,\"bad\":0,\"window\":1000.0}\n{\"msg\":\"ping\"}\n{\"msg\":\"ping\"}\n");
+                    "{\"msg\":\"usage\",\"sidecar\":3,\"kind\":\"read\",\"n\":19,\"bad\":0,\"window\":1000.0}\n"
+                        + "{\"msg\":\"ping\"}\n"
+                        + "{\"msg\":\"ping\"}\n");
             assertEquals("{\"msg\":\"pong\"}", peer.readUntil("pong"));
             assertEquals("{\"msg\":\"pong\"}", peer.readUntil("pong"));
         }
@@ -218,7 +221,7 @@
             while (silent.readLine() != null) {
                 continue;
             }
-            assertTrue(harness.hasLogged("serves"));
+            assertTrue(harness.hasLogged("event=governor_started name=\"n0\" address=/127.0.0.1:"));
         }
     }
 
@@ -309,7 +312,7 @@
                     ServerHarness.chunk(
                             ServerHarness.list(42, false, ServerHarness.entry("s-1", "draining"))));
             assertTrue(stream.readUntil("s-1").contains("[\"s-1\",0]"));
-            assertTrue(harness.hasLogged("the one before stays in force"));
+            assertTrue(harness.hasLogged("event=config_reload_failed reason="));
             String moved = harness.startDiscovery();
             harness.writeConfig(moved);
             harness.reloadConfig();
--- a/src/test/java/sprucelanding/runtime/server/ServerHarness.java
+++ b/src/test/java/sprucelanding/runtime/server/ServerHarness.java
@@ -1,5 +1,7 @@
 package sprucelanding.runtime.server;
 
+import sprucelanding.runtime.eventloop.EventLoop;
+
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.IOException;
@@ -23,7 +25,6 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
  * A governor in service on loopback, with a discovery of the test's making. Waits are long; they
@@ -115,7 +116,7 @@
         writeConfig(startDiscovery());
         PrintStream err = new PrintStream(logged, true, StandardCharsets.UTF_8);
         EventLog eventLog = new EventLog(err, EventLoop::nowMillis);
-        loop = new EventLoop("test", eventLog::logFailure);
+        loop = new EventLoop("test", eventLog::logLoopError);
         listener = GovernorServer.start(loop, eventLog, config, reloader);
         Thread thread = new Thread(loop);
         thread.setDaemon(true);
@@ -137,7 +138,8 @@
                                         continue;
                                     }
                                     peer.send(
-                                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                                            "HTTP/1.1 200 OK\r\n"
+                                                + "Transfer-Encoding: chunked\r\n\r\n");
                                     watchRequests.add(
                                             new Object[] {
                                                 server.getLocalPort() + " " + first, peer
