--- a/src/main/java/sprucelanding/runtime/server/ClassArchiveTraining.java
+++ b/src/main/java/sprucelanding/runtime/server/ClassArchiveTraining.java
@@ -1,11 +1,5 @@
 package sprucelanding.runtime.server;
 
-import sprucelanding.runtime.eventloop.EventLoop;
-import sprucelanding.runtime.eventloop.HttpParser;
-import sprucelanding.runtime.eventloop.TcpConnection;
-
-import sun.misc.Signal;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,6 +11,10 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.function.BiConsumer;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.HttpParser;
+import sprucelanding.runtime.eventloop.TcpConnection;
+import sun.misc.Signal;
 
 /**
  * What the build plays once, so that its class-data archive holds what a governor in service loads:
@@ -100,14 +98,13 @@
                     connectAndSend(
                             loop,
                             governor,
-                            "{\"msg\":\"ping\"}\n"
-                                + "{\"msg\":\"joined\",\"sidecar\":0,\"az\":\"z\",\"share\":9.5,\"standing\":true}\n"
-                                + "{\"msg\":\"usage\",\"sidecar\":0,\"kind\":\"one\",\"n\":19,\"bad\":0,\"window\":1000.0}\n");
+                            "{\"msg\":\"ping\"}\n{\"msg\":\"joined\",\"sidecar\":0,\"az\":\"z\",\"share\":9.5,\"standing\":true}\n"
+                                    + "{\"msg\":\"usage\",\"sidecar\":0,\"kind\":\"one\",\"n\":19,\"bad\":0,\"window\":1000.0}\n");
                     connectAndSend(
                             loop,
                             governor,
-                            "{\"msg\":\"collector\",\"az\":\"z\"}\n"
-                                + "{\"msg\":\"heard\",\"az\":\"z\",\"host\":\"a2\",\"n\":9,\"bad\":1,\"avg\":41.7,\"window\":1000.0,\"report\":{\"util\":0.61}}\n");
+                            "{\"msg\":\"collector\",\"az\":\"z\"}\n{\"msg\":\"heard\",\"az\":\"z\",\"host\":\"a2\",\"n\":9,\"bad\":1,"
+                                    + "\"avg\":41.7,\"window\":1000.0,\"report\":{\"util\":0.61}}\n");
                 });
         loop.schedule(DURATION_MILLIS / 2, () -> Signal.raise(new Signal("HUP")));
         GovernorServer.run(Map.of("NODE_CONFIG", configFile.toString()), System.err);
--- a/src/main/java/sprucelanding/runtime/server/ClientConnection.java
+++ b/src/main/java/sprucelanding/runtime/server/ClientConnection.java
@@ -4,15 +4,13 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
-
-import sprucelanding.control.settings.MalformedInputException;
-import sprucelanding.runtime.eventloop.EventLoop;
-import sprucelanding.runtime.eventloop.TcpConnection;
-
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.Arrays;
+import sprucelanding.control.settings.MalformedInputException;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
  * A connection at the door: nobody yet, then a proxy's stream or a zone's collector. A message is a
--- a/src/main/java/sprucelanding/runtime/server/ConnectionListener.java
+++ b/src/main/java/sprucelanding/runtime/server/ConnectionListener.java
@@ -1,7 +1,5 @@
 package sprucelanding.runtime.server;
 
-import sprucelanding.runtime.eventloop.EventLoop;
-
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.SocketChannel;
@@ -10,6 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
  * Where proxies and collectors connect. Whoever has not joined in time is refused, and the oldest
--- a/src/main/java/sprucelanding/runtime/server/ControllerHost.java
+++ b/src/main/java/sprucelanding/runtime/server/ControllerHost.java
@@ -2,7 +2,10 @@
 
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
@@ -14,11 +17,6 @@
 import sprucelanding.control.settings.SettingsReader;
 import sprucelanding.runtime.eventloop.EventLoop;
 
-import java.util.BitSet;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-
 /**
  * Where all that is heard comes to the decision module, and its orders go out. Inputs only note;
  * the module decides at most once a tick, and what it orders then is one moment. The module's clock
--- a/src/main/java/sprucelanding/runtime/server/DiscoveredEndpoint.java
+++ b/src/main/java/sprucelanding/runtime/server/DiscoveredEndpoint.java
@@ -1,8 +1,7 @@
 package sprucelanding.runtime.server;
 
-import sprucelanding.control.decision.EndpointState;
-
 import java.net.InetSocketAddress;
+import sprucelanding.control.decision.EndpointState;
 
 /** A replica as discovery names it. */
 final class DiscoveredEndpoint {
--- a/src/main/java/sprucelanding/runtime/server/DiscoveryWatch.java
+++ b/src/main/java/sprucelanding/runtime/server/DiscoveryWatch.java
@@ -2,17 +2,15 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-
-import sprucelanding.runtime.eventloop.EventLoop;
-import sprucelanding.runtime.eventloop.HttpParser;
-import sprucelanding.runtime.eventloop.TcpConnection;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.HttpParser;
+import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
  * The watch on discovery: dialled again whenever it breaks or falls silent, from the last list that
--- a/src/main/java/sprucelanding/runtime/server/EndpointDirectory.java
+++ b/src/main/java/sprucelanding/runtime/server/EndpointDirectory.java
@@ -3,12 +3,6 @@
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-
-import sprucelanding.control.decision.BootClock;
-import sprucelanding.control.decision.EndpointState;
-import sprucelanding.control.decision.RoutingController;
-import sprucelanding.control.settings.MalformedInputException;
-
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -17,6 +11,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.LongPredicate;
+import sprucelanding.control.decision.BootClock;
+import sprucelanding.control.decision.EndpointState;
+import sprucelanding.control.decision.RoutingController;
+import sprucelanding.control.settings.MalformedInputException;
 
 /**
  * Replicas by the names that discovery gives them; ids are ours. It puts discovery's answers to the
--- a/src/main/java/sprucelanding/runtime/server/EventLog.java
+++ b/src/main/java/sprucelanding/runtime/server/EventLog.java
@@ -1,9 +1,8 @@
 package sprucelanding.runtime.server;
 
-import sprucelanding.control.decision.DecisionEvent;
-
 import java.io.PrintStream;
 import java.util.function.DoubleSupplier;
+import sprucelanding.control.decision.DecisionEvent;
 
 /**
  * The log of {@code serve}: one event a line on standard error, in length and in number bounded, so
--- a/src/main/java/sprucelanding/runtime/server/GovernorServer.java
+++ b/src/main/java/sprucelanding/runtime/server/GovernorServer.java
@@ -1,18 +1,15 @@
 package sprucelanding.runtime.server;
 
 import com.eclipsesource.json.JsonObject;
-
-import sprucelanding.control.settings.MalformedInputException;
-import sprucelanding.control.settings.SettingsReader;
-import sprucelanding.runtime.eventloop.EventLoop;
-
-import sun.misc.Signal;
-
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
 import java.util.Map;
+import sprucelanding.control.settings.MalformedInputException;
+import sprucelanding.control.settings.SettingsReader;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sun.misc.Signal;
 
 /** One governor in service: reads where it is posted, then runs until it is ended. */
 public final class GovernorServer {
--- a/src/main/java/sprucelanding/runtime/server/HealthChecker.java
+++ b/src/main/java/sprucelanding/runtime/server/HealthChecker.java
@@ -1,12 +1,11 @@
 package sprucelanding.runtime.server;
 
+import java.net.InetSocketAddress;
 import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.runtime.eventloop.HttpGet;
 import sprucelanding.runtime.eventloop.HttpParser;
 
-import java.net.InetSocketAddress;
-
 /** Asks replicas how they are, each time on a connection of its own and for a bounded time. */
 final class HealthChecker {
     /** Told the answer once; load: NaN if none was told. */
--- a/src/main/java/sprucelanding/runtime/server/LoadReportParser.java
+++ b/src/main/java/sprucelanding/runtime/server/LoadReportParser.java
@@ -2,12 +2,10 @@
 
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-
+import java.nio.charset.StandardCharsets;
 import sprucelanding.control.settings.MalformedInputException;
 import sprucelanding.runtime.eventloop.OrcaTextParser;
 
-import java.nio.charset.StandardCharsets;
-
 /** A replica's load report, as text after a probe and as an object among what proxies met. */
 final class LoadReportParser {
     private static final double MAX_LOAD = 2; // reports are noisy, but not as much
--- a/src/main/java/sprucelanding/runtime/server/NodeConfig.java
+++ b/src/main/java/sprucelanding/runtime/server/NodeConfig.java
@@ -4,15 +4,13 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
-
-import sprucelanding.control.settings.MalformedInputException;
-import sprucelanding.control.settings.SettingsReader;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import sprucelanding.control.settings.MalformedInputException;
+import sprucelanding.control.settings.SettingsReader;
 
 /**
  * What a governor is told when it is posted: its place, its limits, the list as last held, and what
--- a/src/main/java/sprucelanding/runtime/server/UpdateEncoder.java
+++ b/src/main/java/sprucelanding/runtime/server/UpdateEncoder.java
@@ -1,10 +1,5 @@
 package sprucelanding.runtime.server;
 
-import sprucelanding.control.decision.Endpoint;
-import sprucelanding.control.distribution.ProxyUpdate;
-import sprucelanding.control.distribution.TableUpdate;
-import sprucelanding.control.settings.DecimalFormatter;
-
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -14,6 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
+import sprucelanding.control.decision.Endpoint;
+import sprucelanding.control.distribution.ProxyUpdate;
+import sprucelanding.control.distribution.TableUpdate;
+import sprucelanding.control.settings.DecimalFormatter;
 
 /**
  * Puts updates into the platform's words: JSON objects, one a line. What proxies share is put into
--- a/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
+++ b/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
@@ -8,13 +8,6 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
-import sprucelanding.control.settings.SettingsReader;
-import sprucelanding.runtime.eventloop.EventLoop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -30,6 +23,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import sprucelanding.control.settings.SettingsReader;
+import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
  * What is still owed when something ends, on real sockets, the order of events forced; afterwards
@@ -290,7 +287,7 @@
                                         requests.add(peer.readLine());
                                         peer.send(
                                                 "HTTP/1.1 200 OK\r\n"
-                                                    + "Transfer-Encoding: chunked\r\n\r\n"
+                                                        + "Transfer-Encoding: chunked\r\n\r\n"
                                                         + ServerHarness.chunk(
                                                                 ServerHarness.list(7, true)));
                                     }
--- a/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
+++ b/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
@@ -8,19 +8,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.eclipsesource.json.Json;
-
+import java.util.BitSet;
+import java.util.List;
+import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-
 import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.settings.MalformedInputException;
 
-import java.util.BitSet;
-import java.util.List;
-import java.util.SplittableRandom;
-
 class EndpointDirectoryTest {
     private final RoutingController controller =
             new RoutingController(
--- a/src/test/java/sprucelanding/runtime/server/EventLogTest.java
+++ b/src/test/java/sprucelanding/runtime/server/EventLogTest.java
@@ -3,10 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
-import sprucelanding.control.decision.DecisionEvent;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -18,6 +14,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import org.junit.jupiter.api.Test;
+import sprucelanding.control.decision.DecisionEvent;
 
 class EventLogTest {
     private final ByteArrayOutputStream output = new ByteArrayOutputStream();
--- a/src/test/java/sprucelanding/runtime/server/GovernorServerTest.java
+++ b/src/test/java/sprucelanding/runtime/server/GovernorServerTest.java
@@ -5,11 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -19,6 +14,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 class GovernorServerTest {
     @TempDir Path folder;
@@ -50,8 +49,8 @@
             assertNotNull(peer.readUntil("full"));
             peer.send(
                     "{\"msg\":\"usage\",\"sidecar\":3,\"kind\":\"read\",\"n\":19,\"bad\":0,\"window\":1000.0}\n"
-                        + "{\"msg\":\"ping\"}\n"
-                        + "{\"msg\":\"ping\"}\n");
+                            + "{\"msg\":\"ping\"}\n"
+                            + "{\"msg\":\"ping\"}\n");
             assertEquals("{\"msg\":\"pong\"}", peer.readUntil("pong"));
             assertEquals("{\"msg\":\"pong\"}", peer.readUntil("pong"));
         }
--- a/src/test/java/sprucelanding/runtime/server/HealthCheckerTest.java
+++ b/src/test/java/sprucelanding/runtime/server/HealthCheckerTest.java
@@ -2,13 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.junit.jupiter.api.Test;
-
-import sprucelanding.control.decision.HealthCheckResult;
-import sprucelanding.runtime.eventloop.EventLoop;
-import sprucelanding.runtime.eventloop.HttpGet;
-import sprucelanding.runtime.eventloop.HttpParser;
-
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -19,6 +12,11 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import sprucelanding.control.decision.HealthCheckResult;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.runtime.eventloop.HttpGet;
+import sprucelanding.runtime.eventloop.HttpParser;
 
 class HealthCheckerTest {
     private interface EndpointBehavior {
@@ -152,9 +150,7 @@
                 HealthCheckResult.OK + " 0.61",
                 checkResult(
                         respondWith(
-                                "HTTP/1.1 200 OK\r\n"
-                                    + "content-length: 32\r\n\r\n"
-                                    + "TEXT busy_reqs=7, cpu_share=0.61")));
+                                "HTTP/1.1 200 OK\r\ncontent-length: 32\r\n\r\nTEXT busy_reqs=7, cpu_share=0.61")));
     }
 
     @Test
--- a/src/test/java/sprucelanding/runtime/server/RecordedPlatformTest.java
+++ b/src/test/java/sprucelanding/runtime/server/RecordedPlatformTest.java
@@ -1,17 +1,15 @@
 package sprucelanding.runtime.server;
 
+import java.io.IOException;
+import java.util.BitSet;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-
 import sprucelanding.control.decision.Endpoint;
 import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.simulation.simulator.WireRecording;
 
-import java.io.IOException;
-import java.util.BitSet;
-import java.util.stream.Collectors;
-import java.util.stream.IntStream;
-
 /**
  * Compares the bytes of the updates that a governor sends its proxies with a recording.
  *
--- a/src/test/java/sprucelanding/runtime/server/RecordedSocketTest.java
+++ b/src/test/java/sprucelanding/runtime/server/RecordedSocketTest.java
@@ -1,11 +1,5 @@
 package sprucelanding.runtime.server;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
-import sprucelanding.runtime.eventloop.EventLoop;
-import sprucelanding.simulation.simulator.WireRecording;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -17,6 +11,10 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import sprucelanding.runtime.eventloop.EventLoop;
+import sprucelanding.simulation.simulator.WireRecording;
 
 /**
  * Compares what a governor sends over sockets with a recording: its answers to handshakes and
--- a/src/test/java/sprucelanding/runtime/server/ServerHarness.java
+++ b/src/test/java/sprucelanding/runtime/server/ServerHarness.java
@@ -1,7 +1,5 @@
 package sprucelanding.runtime.server;
 
-import sprucelanding.runtime.eventloop.EventLoop;
-
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.IOException;
@@ -25,6 +23,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
+import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
  * A governor in service on loopback, with a discovery of the test's making. Waits are long; they
@@ -139,7 +138,7 @@
                                     }
                                     peer.send(
                                             "HTTP/1.1 200 OK\r\n"
-                                                + "Transfer-Encoding: chunked\r\n\r\n");
+                                                    + "Transfer-Encoding: chunked\r\n\r\n");
                                     watchRequests.add(
                                             new Object[] {
                                                 server.getLocalPort() + " " + first, peer
--- a/src/test/java/sprucelanding/runtime/server/UpdateEncoderTest.java
+++ b/src/test/java/sprucelanding/runtime/server/UpdateEncoderTest.java
@@ -2,8 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-
 import sprucelanding.control.decision.AdmissionMode;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.DecisionEvent;
@@ -14,14 +20,6 @@
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.distribution.TableDistributor;
 
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.BitSet;
-import java.util.List;
-import java.util.Map;
-import java.util.SplittableRandom;
-import java.util.TreeMap;
-
 /**
  * What a moment's orders are in the platform's words. A module is opened for its replicas and its
  * proxy only.
@@ -84,7 +82,7 @@
         assertEquals(
                 List.of(
                         "{\"msg\":\"update\",\"full\":true,\"endpoints\":[[\"s-1\",1.500000],[\"s-2\",20000000]],\"admit\":0.900000,"
-                            + "\"policy\":1,\"nonce_out\":905}"),
+                                + "\"policy\":1,\"nonce_out\":905}"),
                 encodedLines());
     }
 
@@ -100,7 +98,7 @@
         assertEquals(
                 List.of(
                         "{\"msg\":\"update\",\"routes\":[\"read\"],\"full\":true,\"endpoints\":[[\"s-1\",3]],\"admit\":0.250000,\"policy\":0,"
-                            + "\"continued\":true}",
+                                + "\"continued\":true}",
                         "{\"msg\":\"update\",\"routes\":[\"sign\"],\"full\":true,\"endpoints\":[[\"s-2\",4]]}"),
                 encoded);
         distributor.setAdmission(0, READ, 0.5, 0);
--- a/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
+++ b/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
@@ -2,7 +2,12 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
@@ -14,13 +19,6 @@
 import sprucelanding.control.distribution.TableDistributor;
 import sprucelanding.control.settings.SettingsReader;
 
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.BitSet;
-import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
-
 /**
  * A governor without sockets on a virtual clock: discovery's lists and the proxies' messages go in,
  * the bytes of the updates go into a transcript. Proxies acknowledge each update at the next step;
@@ -39,14 +37,14 @@
     private static final double START_MS = 1_700_000_000_000.0;
     private static final String SETTINGS =
             "{\"classes\":[{\"name\":\"browse\",\"effect\":\"pure\",\"worth\":1,\"promiseUs\":600000},"
-                + "{\"name\":\"order\",\"effect\":\"side_effect\",\"worth\":3,\"promiseUs\":900000},"
-                + "{\"name\":\"near\",\"effect\":\"pure\",\"worth\":0.5,\"promiseUs\":500000}],"
-                + "\"zones\":[\"north\",\"south\"],\"kinds\":[\"slim\",\"broad\"],\"tickUs\":5000,"
-                + "\"report\":{\"how\":\"answers\",\"names\":[\"cpu_share\",\"pending\"]},"
-                + "\"contract\":{\"coldFrom\":0.25,\"warmAfterUs\":8000000,\"drainGraceUs\":4000000},"
-                + "\"familyInfo\":{\"admit\":\"share\",\"proxies\":12,\"egressPerS\":900.0,\"head\":5.0,"
-                + "\"queueCap\":3000.0,\"updateCap\":0,\"reloadSpanUs\":10000000,\"transitMaxUs\":700000,"
-                + "\"homeOnly\":[false,false,true]},\"ceilings\":{\"probes\":true}}";
+                    + "{\"name\":\"order\",\"effect\":\"side_effect\",\"worth\":3,\"promiseUs\":900000},"
+                    + "{\"name\":\"near\",\"effect\":\"pure\",\"worth\":0.5,\"promiseUs\":500000}],"
+                    + "\"zones\":[\"north\",\"south\"],\"kinds\":[\"slim\",\"broad\"],\"tickUs\":5000,"
+                    + "\"report\":{\"how\":\"answers\",\"names\":[\"cpu_share\",\"pending\"]},"
+                    + "\"contract\":{\"coldFrom\":0.25,\"warmAfterUs\":8000000,\"drainGraceUs\":4000000},"
+                    + "\"familyInfo\":{\"admit\":\"share\",\"proxies\":12,\"egressPerS\":900.0,\"head\":5.0,"
+                    + "\"queueCap\":3000.0,\"updateCap\":0,\"reloadSpanUs\":10000000,\"transitMaxUs\":700000,"
+                    + "\"homeOnly\":[false,false,true]},\"ceilings\":{\"probes\":true}}";
 
     final SettingsReader opening = new SettingsReader(SETTINGS);
     final RoutingController choice = opening.newController(0x5eedL);
