--- /dev/null
+++ b/src/main/java/sprucelanding/runtime/server/CollectorSession.java
@@ -0,0 +1,58 @@
+package sprucelanding.runtime.server;
+
+import java.util.OptionalInt;
+import sprucelanding.control.settings.MalformedInputException;
+
+/** A zone's collector: reports of its proxies on endpoints and on demand come in. */
+final class CollectorSession implements ClientSession {
+    private final ClientConnection connection;
+    private final ControllerHost host;
+    private final int proxyCount;
+
+    CollectorSession(ClientConnection connection, ControllerHost host, int proxyCount) {
+        this.connection = connection;
+        this.host = host;
+        this.proxyCount = proxyCount;
+    }
+
+    @Override
+    public void handle(ClientMessageType type, MessageFields fields) {
+        if (type == ClientMessageType.HEARD) {
+            host.endpointStatsReported(HeardMessage.parse(fields, host));
+        } else if (type == ClientMessageType.USAGE) {
+            host.demandReported(UsageMessage.parse(fields, host, proxyCount, OptionalInt.empty()));
+        } else {
+            throw new MalformedInputException("a collector brings no such message");
+        }
+    }
+
+    @Override
+    public int maxLineBytes() {
+        return ProxySession.MAX_LINE_BYTES;
+    }
+
+    @Override
+    public void onMalformed(String reason) {
+        connection.dropMessage(reason);
+    }
+
+    @Override
+    public void onUnreadable(String reason) {
+        connection.close(reason);
+    }
+
+    @Override
+    public boolean drainsAfterPeerClose() {
+        return false;
+    }
+
+    @Override
+    public double unresponsiveSinceMillis(double lastReceivedMillis) {
+        return Double.POSITIVE_INFINITY;
+    }
+
+    @Override
+    public void onClosed() {
+        // a collector that left is owed nothing and counts for nothing
+    }
+}
--- a/src/main/java/sprucelanding/runtime/server/ControllerHost.java
+++ b/src/main/java/sprucelanding/runtime/server/ControllerHost.java
@@ -1,7 +1,6 @@
 package sprucelanding.runtime.server;
 
 import com.eclipsesource.json.JsonObject;
-import com.eclipsesource.json.JsonValue;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -23,18 +22,6 @@
  * is Unix time as of the start, going on monotonically.
  */
 final class ControllerHost implements ControllerOutput {
-    /** A joined proxy's stream. */
-    interface UpdateStream {
-        /** Receipt: asked for with it, or Update.NONE. */
-        void write(byte[] update, int acknowledgementId);
-
-        /** The proxy has begun a newer one. */
-        void superseded();
-
-        /** It cannot be kept in step: it ends for that reason. */
-        void fail(String reason);
-    }
-
     /** Words by which the soak finds failed decisions in the log. */
     static final String DECISION_FAILED_TEXT = "a decision failed";
 
@@ -181,19 +168,16 @@
         return requestClassNames.indexOf(name);
     }
 
-    /**
-     * A proxy's stream begins; one before it is left by that. Usual: txns a second. Bare: it
-     * brought no ordered table.
-     */
-    void proxyJoined(
-            int proxyId,
-            int zoneIndex,
-            double expectedRate,
-            boolean withoutTables,
-            UpdateStream stream) {
-        UpdateStream previous = streamsByProxy.put(proxyId, stream);
-        distributor.proxyJoined(proxyId, withoutTables);
-        beginInput().proxyJoined(proxyId, zoneIndex, expectedRate, withoutTables);
+    /** A proxy's stream begins; an earlier one of the proxy ends by that. */
+    void proxyJoined(JoinMessage message, UpdateStream stream) {
+        UpdateStream previous = streamsByProxy.put(message.proxyId(), stream);
+        distributor.proxyJoined(message.proxyId(), message.withoutTables());
+        beginInput()
+                .proxyJoined(
+                        message.proxyId(),
+                        message.zoneIndex(),
+                        message.expectedRate(),
+                        message.withoutTables());
         if (previous != null) {
             previous.superseded();
         }
@@ -217,22 +201,30 @@
     }
 
     /**
-     * Tries at a replica that a zone's proxies made; told: its report, or null. Throws Malformed.
+     * What the proxies of a zone met at an endpoint.
+     *
+     * @throws sprucelanding.control.settings.MalformedInputException if its load report is
+     *     malformed
      */
-    void endpointStatsReported(
-            String uid,
-            int attempts,
-            int failedAttempts,
-            double responseMillis,
-            JsonValue loadReport) {
-        double load = reportParser.load(loadReport);
+    void endpointStatsReported(HeardMessage message) {
+        double load = reportParser.load(message.loadReport());
         beginInput()
                 .endpointStatsReported(
-                        endpoints.find(uid).id, attempts, failedAttempts, responseMillis, load);
+                        endpoints.find(message.endpointUid()).id,
+                        message.attempts(),
+                        message.failedAttempts(),
+                        message.responseMillis(),
+                        load);
     }
 
-    void demandReported(int proxyId, int classIndex, int requestCount, double windowMillis) {
-        beginInput().demandReported(proxyId, classIndex, requestCount, windowMillis);
+    /** Demand at a proxy. */
+    void demandReported(UsageMessage message) {
+        beginInput()
+                .demandReported(
+                        message.proxyId(),
+                        message.classIndex(),
+                        message.requestCount(),
+                        message.windowMillis());
     }
 
     @Override
--- a/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
+++ b/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
@@ -239,7 +239,8 @@
                                 true);
                         for (int proxy = 0; proxy < 3; proxy++) {
                             host.proxyJoined(
-                                    proxy, 0, 10, true, new TestStream(proxy, proxy == 1, events));
+                                    new JoinMessage(proxy, 0, 10, true),
+                                    new TestStream(proxy, proxy == 1, events));
                         }
                     });
             TreeSet<String> outcomes = new TreeSet<>();
@@ -251,7 +252,7 @@
     }
 
     private record TestStream(int proxyId, boolean broken, BlockingQueue<String> events)
-            implements ControllerHost.UpdateStream {
+            implements UpdateStream {
         @Override
         public void write(byte[] update, int acknowledgementId) {
             if (broken) {
--- /dev/null
+++ b/src/test/java/sprucelanding/runtime/server/LineFramerTest.java
@@ -0,0 +1,64 @@
+package sprucelanding.runtime.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class LineFramerTest {
+    private static final int INITIAL_BYTES = 256;
+
+    private final ByteBudget budget = new ByteBudget(20_000);
+    private final LineFramer framer = new LineFramer(budget);
+
+    /** Appends a text; what became of its last byte. */
+    private LineFramer.Outcome append(String text) {
+        LineFramer.Outcome outcome = LineFramer.Outcome.INCOMPLETE;
+        for (byte next : text.getBytes(StandardCharsets.UTF_8)) {
+            outcome = framer.append(next, 10_000);
+        }
+        return outcome;
+    }
+
+    @Test
+    void linesAreCutAtTheirEndWhereverTheyAreTorn() {
+        List<String> lines = new ArrayList<>();
+        for (String piece : List.of("on", "e", "\n", "two\n", "\n", "thr\u00e9e\n", "fou")) {
+            if (append(piece) == LineFramer.Outcome.COMPLETE) {
+                lines.add(framer.takeLine());
+            }
+        }
+        assertEquals(List.of("one", "two", "", "thr\u00e9e"), lines);
+    }
+
+    @Test
+    void lineOfTheGreatestLengthIsTakenAndOneByteMoreIsNot() {
+        assertEquals(LineFramer.Outcome.INCOMPLETE, append("x".repeat(10_000)));
+        assertEquals(LineFramer.Outcome.LINE_TOO_LONG, append("x"));
+        assertEquals(LineFramer.Outcome.COMPLETE, append("\n"));
+        assertEquals(10_000, framer.takeLine().length());
+    }
+
+    @Test
+    void bufferGrowsAtTheCostOfTheBudgetAndShrinksAfterALongLine() {
+        assertEquals(INITIAL_BYTES, budget.reservedBytes());
+        append("x".repeat(INITIAL_BYTES) + "x");
+        assertEquals(2 * INITIAL_BYTES, budget.reservedBytes());
+        append("x".repeat(5000) + "\n");
+        assertEquals(8192, budget.reservedBytes());
+        framer.takeLine();
+        framer.shrink();
+        assertEquals(INITIAL_BYTES, budget.reservedBytes());
+        framer.release();
+        assertEquals(0, budget.reservedBytes());
+    }
+
+    @Test
+    void lineThatTheBudgetHasNoRoomForIsRefused() {
+        budget.reserve(19_000);
+        assertEquals(LineFramer.Outcome.INCOMPLETE, append("x".repeat(512)));
+        assertEquals(LineFramer.Outcome.BUDGET_EXCEEDED, append("x"));
+    }
+}
--- /dev/null
+++ b/src/test/java/sprucelanding/runtime/server/PendingAcknowledgementsTest.java
@@ -0,0 +1,42 @@
+package sprucelanding.runtime.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import org.junit.jupiter.api.Test;
+import sprucelanding.control.distribution.ProxyUpdate;
+import sprucelanding.control.settings.MalformedInputException;
+
+class PendingAcknowledgementsTest {
+    private final PendingAcknowledgements pending = new PendingAcknowledgements();
+
+    @Test
+    void nothingIsOwedUntilAnAcknowledgementIsAskedFor() {
+        pending.request(ProxyUpdate.NO_ACKNOWLEDGEMENT, 10);
+        assertEquals(Double.POSITIVE_INFINITY, pending.owedSinceMillis());
+        pending.request(0, 20);
+        assertEquals(20, pending.owedSinceMillis());
+    }
+
+    @Test
+    void acknowledgementSettlesThoseBeforeIt() {
+        pending.request(4, 10);
+        pending.request(5, 20);
+        pending.request(6, 30);
+        pending.settle(5, 40);
+        assertEquals(40, pending.owedSinceMillis(), "the time goes on with each that comes");
+        assertThrows(MalformedInputException.class, () -> pending.settle(4, 50));
+        pending.settle(6, 60);
+        assertEquals(Double.POSITIVE_INFINITY, pending.owedSinceMillis());
+    }
+
+    @Test
+    void onlySixtyFourAreKept() {
+        for (int id = 0; id < 65; id++) {
+            pending.request(id, id);
+        }
+        assertThrows(MalformedInputException.class, () -> pending.settle(0, 70));
+        pending.settle(64, 80);
+        assertEquals(Double.POSITIVE_INFINITY, pending.owedSinceMillis());
+    }
+}
--- a/src/test/java/sprucelanding/runtime/server/ServerHarness.java
+++ b/src/test/java/sprucelanding/runtime/server/ServerHarness.java
@@ -268,7 +268,7 @@
         String summary = "";
         for (int i = 0; i < TIMEOUT_MILLIS / 10; i++) {
             summary = onLoop(listener::resourceSummary);
-            if (summary.equals("0 open, 0 bytes, 0 strangers, 0 leaving, 0 streams")) {
+            if (summary.equals("0 open, 0 bytes, 0 unjoined, 0 rejected, 0 streams")) {
                 return;
             }
             Thread.sleep(10);
