--- a/src/main/java/sprucelanding/runtime/server/ControllerHost.java
+++ b/src/main/java/sprucelanding/runtime/server/ControllerHost.java
@@ -63,7 +63,8 @@
                         requestClassNames.size(),
                         Endpoint::mayBeEjectedElsewhere,
                         Endpoint::isAvailable);
-        encoder = new UpdateEncoder(requestClassNames, endpoint -> endpoints.find(endpoint.id).uid);
+        encoder =
+                new UpdateEncoder(requestClassNames, endpoint -> endpoints.find(endpoint.id).uid());
         controller.setTime(unixMillis());
     }
 
@@ -129,13 +130,13 @@
     }
 
     /** Discovery's list or changes; first for the one held before this start. Throws Malformed. */
-    boolean applyEndpointList(JsonObject list, boolean fromLastRun) {
-        boolean complete = endpoints.applyList(list, fromLastRun, unixMillis(), beginInput());
+    boolean applyEndpointList(JsonObject list, ListOrigin origin) {
+        boolean complete = endpoints.applyList(list, origin, unixMillis(), beginInput());
         eventLog.log(
                 new LogLine(ServerEvent.ENDPOINTS_CHANGED)
                         .with("rev", endpoints.revision())
-                        .with("whole", list.get("all").toString())
-                        .with("entries", list.get("targets").asArray().size())
+                        .with("whole", list.get(EndpointListUpdate.FULL).toString())
+                        .with("entries", list.get(EndpointListUpdate.ENTRIES).asArray().size())
                         .with("ready", endpoints.readyCount()));
         if (endpoints.clockErrorMillis() != clockErrorLoggedMillis) {
             clockErrorLoggedMillis = endpoints.clockErrorMillis();
@@ -210,7 +211,7 @@
         double load = reportParser.load(message.loadReport());
         beginInput()
                 .endpointStatsReported(
-                        endpoints.find(message.endpointUid()).id,
+                        endpoints.find(message.endpointUid()).id(),
                         message.attempts(),
                         message.failedAttempts(),
                         message.responseMillis(),
--- a/src/main/java/sprucelanding/runtime/server/EndpointDirectory.java
+++ b/src/main/java/sprucelanding/runtime/server/EndpointDirectory.java
@@ -1,28 +1,29 @@
 package sprucelanding.runtime.server;
 
-import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.LongPredicate;
 import sprucelanding.control.decision.BootClock;
 import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.RoutingController;
-import sprucelanding.control.settings.MalformedInputException;
 
 /**
- * Replicas by the names that discovery gives them; ids are ours. It puts discovery's answers to the
- * module.
+ * Endpoints by the names that discovery gives them and by the governor's own numbers; applies
+ * discovery's lists to them and to the controller. Event loop's thread only.
  */
 final class EndpointDirectory {
-    private static final double GONE_RETENTION_MILLIS =
-            180_000; // ms for which one that is gone can still be named
+    /** ms for which an endpoint that is gone can still be named. */
+    private static final double GONE_RETENTION_MILLIS = 180_000;
+
+    private static final int DEFAULT_KIND = 0;
+    private static final long NO_REVISION = -1;
 
     private final List<String> zones;
     private final List<String> kinds;
@@ -30,223 +31,205 @@
     private final Map<Long, DiscoveredEndpoint> endpointsById = new HashMap<>();
     private final BootClock bootClock = new BootClock();
 
-    /** A list has been told since the start: what is new after it has just appeared. */
+    /** Whether discovery has sent a list since the start: what is new after it has just started. */
     private boolean listReceived;
 
     private long nextId = 1;
+    private long revision = NO_REVISION;
 
-    /** Discovery's number of the list as held; -1 while there is none. */
-    private long revision = -1;
-
+    /**
+     * Creates an empty directory.
+     *
+     * @param zones names of the site's zones, by number
+     * @param kinds names of the site's kinds of endpoints, by number
+     */
     EndpointDirectory(List<String> zones, List<String> kinds) {
         this.zones = zones;
         this.kinds = kinds;
     }
 
+    /** The endpoint of that name, or null. */
     DiscoveredEndpoint find(String uid) {
         return endpointsByUid.get(uid);
     }
 
-    DiscoveredEndpoint find(long id) {
-        return endpointsById.get(id);
+    /** The endpoint of that number, or null. */
+    DiscoveredEndpoint find(long endpointId) {
+        return endpointsById.get(endpointId);
     }
 
+    /** The zone's number; -1 if there is none of that name. */
     int zoneIndex(String name) {
         return zones.indexOf(name);
     }
 
+    /** Discovery's number of the last list that was applied whole; -1 while there is none. */
     long revision() {
         return revision;
     }
 
+    /** How many endpoints may be given requests. */
     int readyCount() {
-        return (int)
-                endpointsByUid.values().stream()
-                        .filter(endpoint -> endpoint.state == EndpointState.AVAILABLE)
-                        .count();
+        int count = 0;
+        for (DiscoveredEndpoint endpoint : endpointsByUid.values()) {
+            if (endpoint.state() == EndpointState.AVAILABLE) {
+                count++;
+            }
+        }
+        return count;
+    }
+
+    /** How far this machine's clock is found to be ahead of discovery's, ms. */
+    double clockErrorMillis() {
+        return bootClock.error();
     }
 
     /**
-     * Tells the module a list or changes; first for the one that was held before this start. False
-     * if some of it could not be read: then what could be read counts as changes, so that nothing
-     * that was known is lost. Throws Malformed if all is spoilt.
+     * Applies a list or changes of it, and passes them on to the controller. Of a list with
+     * malformed entries, the others count as changes, so that nothing that was known is lost.
+     *
+     * @param nowMillis on the controller's clock
+     * @return false if some entries were malformed
+     * @throws sprucelanding.control.settings.MalformedInputException if it is no list at all
      */
     boolean applyList(
-            JsonObject update,
-            boolean fromLastRun,
-            double nowMillis,
-            RoutingController controller) {
-        JsonValue targets = update.get("targets");
-        JsonValue full = update.get("all");
-        JsonValue revisionValue = update.get("rev");
-        if (targets == null
-                || !targets.isArray()
-                || full == null
-                || !full.isBoolean()
-                || !isWholeNumber(revisionValue)) {
-            throw new MalformedInputException("no list: rev, all or targets is missing");
-        }
-        JsonArray entries = targets.asArray();
-        Set<DiscoveredEndpoint> parsed = new LinkedHashSet<>();
-        int malformedCount = 0;
-        boolean seenStarting = listReceived && !full.asBoolean();
-        boolean corrected = false;
-        for (JsonValue item : entries) {
-            DiscoveredEndpoint endpoint = item.isObject() ? parseEntry(item.asObject()) : null;
-            if (endpoint == null) {
-                malformedCount++;
-                continue;
-            }
-            if (parsed.add(endpoint) && endpoint.startPending) {
-                corrected |= bootClock.observe(endpoint.bootMillis, nowMillis, seenStarting);
-                endpoint.startedAtMillis = bootClock.localTime(endpoint.bootMillis);
-                endpoint.startPending = false;
+            JsonObject json, ListOrigin origin, double nowMillis, RoutingController controller) {
+        EndpointListUpdate update = EndpointListUpdate.parse(json);
+        boolean seenStarting = listReceived && !update.full();
+        Set<DiscoveredEndpoint> listed = new LinkedHashSet<>();
+        boolean complete = true;
+        boolean clockCorrected = false;
+        for (JsonValue item : update.entries()) {
+            Optional<DiscoveredEndpoint> endpoint = applyEntry(item);
+            if (endpoint.isEmpty()) {
+                complete = false;
+            } else if (listed.add(endpoint.get()) && endpoint.get().isStartPending()) {
+                clockCorrected |= observeStart(endpoint.get(), nowMillis, seenStarting);
             }
         }
-        listReceived |= !fromLastRun;
-        if (corrected) {
+        listReceived |= origin == ListOrigin.DISCOVERY;
+        if (clockCorrected) {
             correctStartTimes(controller);
         }
-        boolean complete = malformedCount == 0;
-        boolean replacesAll = full.asBoolean() && complete;
-        controller.endpointListStarted(replacesAll, fromLastRun);
-        for (DiscoveredEndpoint endpoint : parsed) {
-            endpoint.goneAtMillis = endpoint.state == EndpointState.GONE ? nowMillis : 0;
-            controller.endpointListed(
-                    endpoint.id,
-                    endpoint.zone,
-                    endpoint.kind,
-                    endpoint.weight,
-                    endpoint.startedAtMillis,
-                    endpoint.state);
+        boolean replacesAll = update.full() && complete;
+        controller.endpointListStarted(replacesAll, origin == ListOrigin.LAST_RUN);
+        for (DiscoveredEndpoint endpoint : listed) {
+            endpoint.setGoneAtMillis(endpoint.isGone() ? nowMillis : 0);
+            passOn(endpoint, controller);
         }
         controller.endpointListCompleted();
         if (replacesAll) {
-            endpointsByUid.values().stream()
-                    .filter(
-                            endpoint ->
-                                    endpoint.state != EndpointState.GONE
-                                            && !parsed.contains(endpoint))
-                    .forEach(
-                            endpoint -> {
-                                endpoint.state = EndpointState.GONE;
-                                endpoint.goneAtMillis = nowMillis;
-                            });
+            markUnlistedGone(listed, nowMillis);
         }
-        revision = complete ? revisionValue.asLong() : revision;
+        revision = complete ? update.revision() : revision;
         return complete;
     }
 
-    /**
-     * The clock was found to be wrong: all starts are read anew. None of them is a new start by
-     * that.
-     */
+    /** Reads an entry and updates its endpoint; nothing if it is malformed. */
+    private Optional<DiscoveredEndpoint> applyEntry(JsonValue item) {
+        Optional<EndpointEntry> parsed = EndpointEntry.parse(item, zones);
+        if (parsed.isEmpty()) {
+            return Optional.empty();
+        }
+        EndpointEntry entry = parsed.get();
+        DiscoveredEndpoint known = endpointsByUid.get(entry.uid());
+        if (entry.attributes().isPresent()) {
+            return Optional.of(update(known, entry, entry.attributes().get()));
+        }
+        if (known == null) { // a name alone says nothing of an endpoint that is not known
+            return Optional.empty();
+        }
+        known.setState(entry.state());
+        return Optional.of(known);
+    }
+
+    private DiscoveredEndpoint update(
+            DiscoveredEndpoint known, EndpointEntry entry, EndpointEntry.Attributes attributes) {
+        DiscoveredEndpoint endpoint = known == null ? create(entry.uid()) : known;
+        endpoint.setPlace(attributes.address(), zones.indexOf(attributes.zone()));
+        endpoint.setCapacity(kindIndex(attributes.kind()), attributes.weight());
+        if (known == null) {
+            endpoint.setFirstBootMillis(attributes.bootMillis());
+        } else {
+            endpoint.setBootMillis(attributes.bootMillis());
+        }
+        endpoint.setState(entry.state());
+        return endpoint;
+    }
+
+    private DiscoveredEndpoint create(String uid) {
+        DiscoveredEndpoint endpoint = new DiscoveredEndpoint(nextId, uid);
+        nextId++;
+        endpointsByUid.put(uid, endpoint);
+        endpointsById.put(endpoint.id(), endpoint);
+        return endpoint;
+    }
+
+    /** The number of a kind that a list gives by number or by name. */
+    private int kindIndex(JsonValue kind) {
+        if (kind == null) {
+            return DEFAULT_KIND;
+        }
+        return kind.isNumber()
+                ? kind.asInt()
+                : Math.max(DEFAULT_KIND, kinds.indexOf(kind.asString()));
+    }
+
+    /** Puts a new start on the controller's clock; true if that clock was found to be wrong. */
+    private boolean observeStart(
+            DiscoveredEndpoint endpoint, double nowMillis, boolean seenStarting) {
+        boolean corrected = bootClock.observe(endpoint.bootMillis(), nowMillis, seenStarting);
+        endpoint.setStartedAtMillis(bootClock.localTime(endpoint.bootMillis()));
+        return corrected;
+    }
+
+    /** The clock was found to be wrong: all known starts are put on it anew. */
     private void correctStartTimes(RoutingController controller) {
         for (DiscoveredEndpoint endpoint : endpointsByUid.values()) {
-            double startedAtMillis = bootClock.localTime(endpoint.bootMillis);
-            if (startedAtMillis != endpoint.startedAtMillis) {
-                endpoint.startedAtMillis = startedAtMillis;
-                controller.startTimeCorrected(endpoint.id, startedAtMillis);
+            double startedAtMillis = bootClock.localTime(endpoint.bootMillis());
+            if (startedAtMillis != endpoint.startedAtMillis()) {
+                endpoint.correctStartedAtMillis(startedAtMillis);
+                controller.startTimeCorrected(endpoint.id(), startedAtMillis);
             }
         }
     }
 
-    /** How far this machine's clock is found to be ahead of the one that starts are told by, ms. */
-    double clockErrorMillis() {
-        return bootClock.error();
+    private static void passOn(DiscoveredEndpoint endpoint, RoutingController controller) {
+        controller.endpointListed(
+                endpoint.id(),
+                endpoint.zone(),
+                endpoint.kind(),
+                endpoint.weight(),
+                endpoint.startedAtMillis(),
+                endpoint.state());
+    }
+
+    private void markUnlistedGone(Set<DiscoveredEndpoint> listed, double nowMillis) {
+        for (DiscoveredEndpoint endpoint : endpointsByUid.values()) {
+            if (!endpoint.isGone() && !listed.contains(endpoint)) {
+                endpoint.setState(EndpointState.GONE);
+                endpoint.setGoneAtMillis(nowMillis);
+            }
+        }
     }
 
     /**
-     * Drops the names of those long gone, but of none that a table still holds: its removal is
-     * owed. True if there were any.
+     * Removes the endpoints that are long gone, but none that a table still holds: its removal is
+     * owed, and names it.
+     *
+     * @return whether there were any
      */
     boolean removeGone(double nowMillis, LongPredicate isInTable) {
         endpointsById
                 .values()
                 .removeIf(
                         endpoint ->
-                                endpoint.state == EndpointState.GONE
-                                        && nowMillis - endpoint.goneAtMillis > GONE_RETENTION_MILLIS
-                                        && !isInTable.test(endpoint.id));
+                                endpoint.isGone()
+                                        && nowMillis - endpoint.goneAtMillis()
+                                                > GONE_RETENTION_MILLIS
+                                        && !isInTable.test(endpoint.id()));
         return endpointsByUid
                 .values()
-                .removeIf(endpoint -> !endpointsById.containsKey(endpoint.id));
-    }
-
-    private DiscoveredEndpoint parseEntry(JsonObject entry) {
-        JsonValue uid = entry.get("uid");
-        JsonValue state = entry.get("state");
-        if (uid == null
-                || !uid.isString()
-                || uid.asString().isEmpty()
-                || state == null
-                || !state.isString()) {
-            return null;
-        }
-        EndpointState endpointState =
-                switch (state.asString()) {
-                    case "ready" -> EndpointState.AVAILABLE;
-                    case "draining" -> EndpointState.DRAINING;
-                    case "gone" -> EndpointState.GONE;
-                    default -> null;
-                };
-        DiscoveredEndpoint known = endpointsByUid.get(uid.asString());
-        JsonValue addressValue = entry.get("endpoint");
-        JsonValue zoneValue = entry.get("az");
-        JsonValue bootValue = entry.get("boot_ms");
-        JsonValue weightValue = entry.get("capacity_hint");
-        JsonValue kindValue = entry.get("model");
-        boolean valid =
-                endpointState != null
-                        && addressValue != null
-                        && addressValue.isString()
-                        && zoneValue != null
-                        && zoneValue.isString()
-                        && zones.contains(zoneValue.asString())
-                        && (bootValue == null || bootValue.isNumber() && bootValue.asDouble() >= 0)
-                        && (weightValue == null
-                                || weightValue.isNumber() && weightValue.asDouble() >= 0);
-        if (!valid) {
-            if (endpointState == EndpointState.GONE
-                    && known != null) { // of one that is gone, the name says all
-                known.state = endpointState;
-                return known;
-            }
-            return null;
-        }
-        InetSocketAddress address;
-        try {
-            address = NodeConfig.parseAddress(addressValue.asString(), "endpoint");
-        } catch (MalformedInputException malformed) {
-            return null;
-        }
-        DiscoveredEndpoint discovered = known;
-        if (discovered == null) {
-            discovered = new DiscoveredEndpoint(nextId++, uid.asString());
-            endpointsByUid.put(discovered.uid, discovered);
-            endpointsById.put(discovered.id, discovered);
-        }
-        discovered.address = address;
-        discovered.zone = zones.indexOf(zoneValue.asString());
-        discovered.kind =
-                kindValue == null
-                        ? 0
-                        : kindValue.isNumber()
-                                ? kindValue.asInt()
-                                : Math.max(0, kinds.indexOf(kindValue.asString()));
-        discovered.weight = weightValue == null ? 1 : weightValue.asDouble();
-        double bootMillis = bootValue == null ? 0 : bootValue.asDouble();
-        discovered.startPending = known == null || bootMillis != discovered.bootMillis;
-        discovered.bootMillis = bootMillis;
-        discovered.state = endpointState;
-        return discovered;
-    }
-
-    private static boolean isWholeNumber(JsonValue value) {
-        if (value == null || !value.isNumber()) {
-            return false;
-        }
-        double number = value.asDouble();
-        return number == Math.rint(number) && Math.abs(number) < 1L << 53;
+                .removeIf(endpoint -> !endpointsById.containsKey(endpoint.id()));
     }
 }
--- a/src/main/java/sprucelanding/runtime/server/GovernorServer.java
+++ b/src/main/java/sprucelanding/runtime/server/GovernorServer.java
@@ -6,18 +6,32 @@
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
 import sprucelanding.control.settings.MalformedInputException;
 import sprucelanding.control.settings.SettingsReader;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sun.misc.Signal;
 
-/** One governor in service: reads where it is posted, then runs until it is ended. */
+/**
+ * The {@code serve} command: reads the configuration, then runs one governor on the calling thread
+ * until the process is ended. SIGHUP has the configuration read again; SIGTERM ends the process at
+ * once.
+ */
 public final class GovernorServer {
+    /** The environment variable that names the configuration file. */
+    private static final String CONFIG_VARIABLE = "NODE_CONFIG";
+
+    private static final int EXIT_LOOP_ENDED = 1;
+    private static final int EXIT_CANNOT_START = 2;
+
     private GovernorServer() {}
 
     /**
-     * Runs on this thread; the exit code. Given: the environment, whose NODE_CONFIG names the
-     * posting.
+     * Serves; returns only if it cannot start or its event loop has ended.
+     *
+     * @param environment variables, of which NODE_CONFIG names the configuration file
+     * @param err where the log goes
+     * @return the exit code: 2 if it cannot start, 1 if its event loop has ended
      */
     public static int run(Map<String, String> environment, PrintStream err) {
         EventLog eventLog = new EventLog(err, EventLoop::nowMillis);
@@ -25,36 +39,31 @@
         ConfigReloader reloader = new ConfigReloader();
         Signal.handle(new Signal("HUP"), signal -> loop.tryExecute(reloader::reload));
         Signal.handle(new Signal("TERM"), signal -> Runtime.getRuntime().halt(0));
-        String configFile = environment.get("NODE_CONFIG");
+        String configFile = environment.get(CONFIG_VARIABLE);
         if (configFile == null) {
-            eventLog.logStartFailure("NODE_CONFIG is not set");
-            return 2;
+            eventLog.logStartFailure(CONFIG_VARIABLE + " is not set");
+            return EXIT_CANNOT_START;
         }
         try {
             start(loop, eventLog, Path.of(configFile), reloader);
         } catch (MalformedInputException | IOException e) {
             eventLog.logStartFailure(configFile + ": " + e.getMessage());
-            return 2;
+            return EXIT_CANNOT_START;
         } catch (UncheckedIOException e) {
             eventLog.logStartFailure(e.getMessage() + ": " + e.getCause().getMessage());
-            return 2;
+            return EXIT_CANNOT_START;
         }
         loop.run();
-        return 1;
-    }
-
-    /** What a new posting does; nothing while the first is being read. */
-    static final class ConfigReloader {
-        private Runnable reloadAction = () -> {};
-
-        void reload() {
-            reloadAction.run();
-        }
+        return EXIT_LOOP_ENDED;
     }
 
     /**
-     * All that runs on the loop, before it does; where connections come in. Throws
-     * UncheckedIOException too.
+     * Sets up all that runs on the event loop, before it runs.
+     *
+     * @return where clients connect
+     * @throws MalformedInputException if the configuration cannot be used
+     * @throws IOException if the configuration cannot be read
+     * @throws UncheckedIOException if its address cannot be listened at
      */
     static ConnectionListener start(
             EventLoop loop, EventLog eventLog, Path configFile, ConfigReloader reloader)
@@ -62,38 +71,11 @@
         NodeConfig config = NodeConfig.read(configFile);
         SettingsReader settings = config.settings();
         ControllerHost host = new ControllerHost(loop, eventLog, settings, config.seed());
-        if (config.lastKnownList() != null) {
-            try {
-                host.applyEndpointList(config.lastKnownList(), true);
-            } catch (MalformedInputException e) {
-                eventLog.log(ServerEvent.KNOWN_LIST_UNUSABLE, e.getMessage());
-            }
-        }
+        applyLastKnownList(config, host, eventLog);
         DiscoveryWatch watch =
                 new DiscoveryWatch(
-                        loop,
-                        config.discoveryAddress(),
-                        new DiscoveryWatch.ListHandler() {
-                            @Override
-                            public boolean onList(JsonObject list) {
-                                return host.applyEndpointList(list, false);
-                            }
-
-                            @Override
-                            public long revision() {
-                                return host.revision();
-                            }
-                        },
-                        eventLog);
-        reloader.reloadAction =
-                () -> {
-                    try {
-                        watch.moveTo(NodeConfig.read(configFile).discoveryAddress());
-                        eventLog.log(ServerEvent.CONFIG_RELOADED);
-                    } catch (MalformedInputException | IOException e) {
-                        eventLog.log(ServerEvent.CONFIG_RELOAD_FAILED, e.getMessage());
-                    }
-                };
+                        loop, config.discoveryAddress(), new HostListHandler(host), eventLog);
+        reloader.enable(configFile, watch, eventLog);
         watch.start();
         ConnectionListener listener =
                 new ConnectionListener(
@@ -105,4 +87,30 @@
                         .with("address", config.listenAddress().toString()));
         return listener;
     }
+
+    private static void applyLastKnownList(
+            NodeConfig config, ControllerHost host, EventLog eventLog) {
+        Optional<JsonObject> list = config.lastKnownList();
+        if (list.isEmpty()) {
+            return;
+        }
+        try {
+            host.applyEndpointList(list.get(), ListOrigin.LAST_RUN);
+        } catch (MalformedInputException e) {
+            eventLog.log(ServerEvent.KNOWN_LIST_UNUSABLE, e.getMessage());
+        }
+    }
+
+    /** Passes discovery's lists on to the host. */
+    private record HostListHandler(ControllerHost host) implements DiscoveryWatch.ListHandler {
+        @Override
+        public boolean onList(JsonObject list) {
+            return host.applyEndpointList(list, ListOrigin.DISCOVERY);
+        }
+
+        @Override
+        public long revision() {
+            return host.revision();
+        }
+    }
 }
--- a/src/main/java/sprucelanding/runtime/server/NodeConfig.java
+++ b/src/main/java/sprucelanding/runtime/server/NodeConfig.java
@@ -9,21 +9,42 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Optional;
 import sprucelanding.control.settings.MalformedInputException;
 import sprucelanding.control.settings.SettingsReader;
 
 /**
- * What a governor is told when it is posted: its place, its limits, the list as last held, and what
- * the site states.
+ * The configuration of one governor: its addresses and limits, the endpoint list as it last had it,
+ * and the site's settings. A field that is needed and cannot be used is a {@link
+ * MalformedInputException} that names it.
  */
 final class NodeConfig {
+    private static final String NAME = "name";
+    private static final String LISTEN = "listen";
+    private static final String DISCOVERY = "discovery";
+    private static final String SEED = "seed";
+    private static final String LIMITS = "limits";
+    private static final String LIMITS_DESCRIPTORS = "sockets";
+    private static final String LAST_KNOWN_LIST = "known";
+    private static final String SETTINGS = "settings";
+
+    private static final String DEFAULT_NAME = "governor";
+    private static final long DEFAULT_SEED = 1;
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
+    private static final int HEXADECIMAL = 16;
+
     private final JsonObject root;
 
     private NodeConfig(JsonObject root) {
         this.root = root;
     }
 
-    /** Throws Malformed, which names the field, or IOException. */
+    /**
+     * Reads a configuration file.
+     *
+     * @throws MalformedInputException if it holds no JSON object
+     * @throws IOException if it cannot be read
+     */
     static NodeConfig read(Path configFile) throws IOException {
         try {
             return new NodeConfig(
@@ -33,27 +54,30 @@
         }
     }
 
+    /** The governor's name, for the log. */
     String name() {
-        return root.getString("name", "governor");
+        return root.getString(NAME, DEFAULT_NAME);
     }
 
+    /** Where proxies and collectors connect. */
     InetSocketAddress listenAddress() {
-        return parseAddress("listen");
+        return address(LISTEN);
     }
 
+    /** Where discovery is watched. */
     InetSocketAddress discoveryAddress() {
-        return parseAddress("discovery");
+        return address(DISCOVERY);
     }
 
-    /** For random numbers: hexadecimal digits, or any text. */
+    /** The seed of the controller's random numbers: hexadecimal digits, or any other text. */
     long seed() {
-        JsonValue seed = root.get("seed");
+        JsonValue seed = root.get(SEED);
         if (seed == null) {
-            return 1;
+            return DEFAULT_SEED;
         }
         String text = seed.isString() ? seed.asString() : seed.toString();
         try {
-            return Long.parseUnsignedLong(text, 16);
+            return Long.parseUnsignedLong(text, HEXADECIMAL);
         } catch (NumberFormatException e) {
             return text.hashCode();
         }
@@ -61,59 +85,38 @@
 
     /** Descriptors that this process may hold. */
     int maxDescriptors() {
-        JsonValue limits = root.get("limits");
-        JsonValue sockets =
-                limits != null && limits.isObject() ? limits.asObject().get("sockets") : null;
-        return sockets != null && sockets.isNumber() ? (int) sockets.asDouble() : 1024;
+        JsonValue limits = root.get(LIMITS);
+        JsonValue descriptors =
+                limits != null && limits.isObject()
+                        ? limits.asObject().get(LIMITS_DESCRIPTORS)
+                        : null;
+        return descriptors != null && descriptors.isNumber()
+                ? (int) descriptors.asDouble()
+                : DEFAULT_MAX_DESCRIPTORS;
     }
 
-    /** The list as this governor last had it, or null. */
-    JsonObject lastKnownList() {
-        JsonValue known = root.get("known");
-        return known != null && known.isObject() ? known.asObject() : null;
+    /** The endpoint list as this governor last had it. */
+    Optional<JsonObject> lastKnownList() {
+        return object(LAST_KNOWN_LIST);
     }
 
+    /** The site's settings. */
     SettingsReader settings() {
-        JsonValue settings = root.get("settings");
-        if (settings == null || !settings.isObject()) {
-            throw new MalformedInputException("settings: not given");
-        }
-        return new SettingsReader(settings.asObject());
+        return new SettingsReader(
+                object(SETTINGS)
+                        .orElseThrow(() -> new MalformedInputException(SETTINGS + ": not given")));
     }
 
-    private InetSocketAddress parseAddress(String field) {
+    private Optional<JsonObject> object(String field) {
         JsonValue value = root.get(field);
-        InetSocketAddress parsed =
-                value != null && value.isString() ? parseAddress(value.asString(), field) : null;
-        if (parsed == null) {
-            throw new MalformedInputException(field + ": no address");
-        }
-        return parsed;
+        return value != null && value.isObject() ? Optional.of(value.asObject()) : Optional.empty();
     }
 
-    /** HOST:PORT with a numeric host; throws Malformed naming the field. */
-    static InetSocketAddress parseAddress(String text, String field) {
-        int colon = text.lastIndexOf(':');
-        String host = colon < 1 ? "" : text.substring(0, colon);
-        boolean numeric =
-                !host.isEmpty()
-                        && host.chars()
-                                .allMatch(
-                                        character ->
-                                                character >= '0' && character <= '9'
-                                                        || character == '.');
-        try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            if (numeric && port > 0 && port < 65_536) {
-                InetSocketAddress parsed = new InetSocketAddress(host, port);
-                if (!parsed.isUnresolved()) {
-                    return parsed;
-                }
-            }
-        } catch (NumberFormatException e) {
-            // said below
+    private InetSocketAddress address(String field) {
+        JsonValue value = root.get(field);
+        if (value == null || !value.isString()) {
+            throw new MalformedInputException(field + ": no address");
         }
-        throw new MalformedInputException(
-                field + ": no address: " + (text.length() > 60 ? text.substring(0, 60) : text));
+        return NumericAddress.parse(value.asString(), field);
     }
 }
--- /dev/null
+++ b/src/main/java/sprucelanding/runtime/server/NumericAddress.java
@@ -0,0 +1,55 @@
+package sprucelanding.runtime.server;
+
+import java.net.InetSocketAddress;
+import sprucelanding.control.settings.MalformedInputException;
+
+/** Reads addresses of the form {@code HOST:PORT} with a numeric IPv4 host: no name is resolved. */
+final class NumericAddress {
+    private static final int MAX_PORT = 65_535;
+
+    /** Characters of a text that an error message quotes. */
+    private static final int MAX_QUOTED_LENGTH = 60;
+
+    private NumericAddress() {}
+
+    /**
+     * Reads an address.
+     *
+     * @param field what holds it, for the error message
+     * @throws MalformedInputException if the text is no such address; it names the field
+     */
+    static InetSocketAddress parse(String text, String field) {
+        int colon = text.lastIndexOf(':');
+        String host = colon < 1 ? "" : text.substring(0, colon);
+        int port = parsePort(text.substring(colon + 1));
+        if (isNumeric(host) && port > 0 && port <= MAX_PORT) {
+            InetSocketAddress parsed = new InetSocketAddress(host, port);
+            if (!parsed.isUnresolved()) {
+                return parsed;
+            }
+        }
+        throw new MalformedInputException(
+                field
+                        + ": no address: "
+                        + text.substring(0, Math.min(text.length(), MAX_QUOTED_LENGTH)));
+    }
+
+    /** The port; 0, which is none that can be connected to, if it is no number. */
+    private static int parsePort(String text) {
+        try {
+            return Integer.parseInt(text);
+        } catch (NumberFormatException e) {
+            return 0;
+        }
+    }
+
+    private static boolean isNumeric(String host) {
+        for (int i = 0; i < host.length(); i++) {
+            char character = host.charAt(i);
+            if ((character < '0' || character > '9') && character != '.') {
+                return false;
+            }
+        }
+        return !host.isEmpty();
+    }
+}
--- a/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
+++ b/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
@@ -236,7 +236,7 @@
                                                         true,
                                                         ServerHarness.entry("s-1", "ready")))
                                         .asObject(),
-                                true);
+                                ListOrigin.LAST_RUN);
                         for (int proxy = 0; proxy < 3; proxy++) {
                             host.proxyJoined(
                                     new JoinMessage(proxy, 0, 10, true),
--- a/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
+++ b/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
@@ -30,7 +30,8 @@
     private final EndpointDirectory directory = new EndpointDirectory(List.of("a"), List.of("m1"));
 
     private boolean applyList(double nowMillis, String list) {
-        return directory.applyList(Json.parse(list).asObject(), false, nowMillis, controller);
+        return directory.applyList(
+                Json.parse(list).asObject(), ListOrigin.DISCOVERY, nowMillis, controller);
     }
 
     @Test
@@ -59,8 +60,8 @@
                             ServerHarness.list(
                                     2, true, ServerHarness.entry("s-3", "ready"), malformed)),
                     malformed);
-            assertEquals(EndpointState.AVAILABLE, directory.find("s-1").state, malformed);
-            assertEquals(EndpointState.AVAILABLE, directory.find("s-2").state, malformed);
+            assertEquals(EndpointState.AVAILABLE, directory.find("s-1").state(), malformed);
+            assertEquals(EndpointState.AVAILABLE, directory.find("s-2").state(), malformed);
             assertNotNull(directory.find("s-3"));
             assertEquals(1, directory.revision(), "it goes on from the last that was whole");
         }
@@ -89,7 +90,7 @@
                                             startedEntry("s-1", wallMillis - 10_000),
                                             ServerHarness.entry("s-2", "ready")))
                             .asObject(),
-                    true,
+                    ListOrigin.LAST_RUN,
                     nowMillis,
                     controller);
             localDirectory.applyList(
@@ -97,7 +98,7 @@
                                     ServerHarness.list(
                                             2, false, startedEntry("s-3", wallMillis - 5_000)))
                             .asObject(),
-                    false,
+                    ListOrigin.DISCOVERY,
                     nowMillis,
                     controller);
             localDirectory.applyList(
@@ -105,20 +106,20 @@
                                     ServerHarness.list(
                                             3, false, startedEntry("s-4", wallMillis + 1_000)))
                             .asObject(),
-                    false,
+                    ListOrigin.DISCOVERY,
                     nowMillis + 2_000,
                     controller);
             assertEquals(
                     1_000,
-                    nowMillis + 2_000 - localDirectory.find("s-4").startedAtMillis,
+                    nowMillis + 2_000 - localDirectory.find("s-4").startedAtMillis(),
                     1_500,
                     "step " + offsetMillis);
             assertEquals(
                     12_000,
-                    nowMillis + 2_000 - localDirectory.find("s-1").startedAtMillis,
+                    nowMillis + 2_000 - localDirectory.find("s-1").startedAtMillis(),
                     2_500,
                     "step " + offsetMillis);
-            assertEquals(0, localDirectory.find("s-2").startedAtMillis, "long past");
+            assertEquals(0, localDirectory.find("s-2").startedAtMillis(), "long past");
         }
     }
 
@@ -132,7 +133,7 @@
                         ServerHarness.entry("s-1", "ready"),
                         ServerHarness.entry("s-2", "ready"),
                         ServerHarness.entry("s-3", "ready")));
-        long id = directory.find("s-1").id;
+        long id = directory.find("s-1").id();
         applyList(1000, ServerHarness.list(2, false, ServerHarness.entry("s-1", "gone")));
         applyList(100_000, ServerHarness.list(3, true, ServerHarness.entry("s-2", "draining")));
         assertFalse(directory.removeGone(180_000, endpointId -> false));
@@ -160,7 +161,7 @@
                                 ServerHarness.entry("s-2", "ready"))));
         assertTrue(
                 applyList(1000, ServerHarness.list(2, false, ServerHarness.entry("s-1", "gone"))));
-        long heldId = directory.find("s-1").id;
+        long heldId = directory.find("s-1").id();
         assertFalse(
                 directory.removeGone(900_000, id -> id == heldId),
                 "its removal is still owed, and goes by its name");
--- a/src/test/java/sprucelanding/runtime/server/HealthCheckerTest.java
+++ b/src/test/java/sprucelanding/runtime/server/HealthCheckerTest.java
@@ -37,8 +37,9 @@
                             new LoadReportParser("cpu_share"),
                             (endpointId, result, load) -> results.add(result + " " + load));
             DiscoveredEndpoint endpoint = new DiscoveredEndpoint(1, "s-1");
-            endpoint.address =
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
+            endpoint.setPlace(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
+                    0);
             Thread endpointThread =
                     new Thread(
                             () -> {
@@ -77,11 +78,12 @@
                             new LoadReportParser("cpu_share"),
                             (endpointId, result, load) -> results.add(result + " " + load));
             DiscoveredEndpoint endpoint = new DiscoveredEndpoint(1, "s-1");
-            endpoint.address =
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
+            endpoint.setPlace(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort()),
+                    0);
             loop.tryExecute(() -> healthChecker.check(endpoint));
             try (Socket socket = server.accept()) {
-                loop.tryExecute(() -> endpoint.startedAtMillis = 5); // told before the answer is
+                loop.tryExecute(() -> endpoint.setStartedAtMillis(5)); // told before the answer is
                 BlockingQueue<Integer> done = new LinkedBlockingQueue<>();
                 loop.tryExecute(() -> done.add(1));
                 done.poll(15, TimeUnit.SECONDS);
--- a/src/test/java/sprucelanding/runtime/server/RecordedPlatformTest.java
+++ b/src/test/java/sprucelanding/runtime/server/RecordedPlatformTest.java
@@ -60,7 +60,7 @@
                                 endpoint.equals("e-7") && step[0] >= 30 && step[0] < 50
                                         ? HealthCheckResult.UNREACHABLE
                                         : HealthCheckResult.OK);
-        governor.discovery(ready(41, 10), true);
+        governor.discovery(ready(41, 10), ListOrigin.LAST_RUN);
         for (step[0] = 0; step[0] < STEPS; step[0]++) {
             governor.passes(STEP_MS);
             happens(governor, step[0]);
@@ -78,18 +78,22 @@
             case 14 ->
                     governor.discovery(
                             list(42, false, endpoint(2, "draining", 0), endpoint(3, "gone", 0)),
-                            false);
+                            ListOrigin.DISCOVERY);
             case 18 ->
                     governor.discovery(
-                            list(43, false, endpoint(11, "ready", 1_700_000_004_000L)), false);
+                            list(43, false, endpoint(11, "ready", 1_700_000_004_000L)),
+                            ListOrigin.DISCOVERY);
             case 24 -> governor.leaves(2);
             case 27 -> joins(governor, 2, 3, false);
             case 29 -> joins(governor, 8, 11, false);
-            case 55 -> governor.discovery(list(44, false, endpoint(2, "ready", 0)), false);
+            case 55 ->
+                    governor.discovery(
+                            list(44, false, endpoint(2, "ready", 0)), ListOrigin.DISCOVERY);
             case 60 ->
                     governor.discovery(
-                            list(45, false, endpoint(5, "ready", 1_700_000_015_000L)), false);
-            case 110 -> governor.discovery(ready(46, 6), false);
+                            list(45, false, endpoint(5, "ready", 1_700_000_015_000L)),
+                            ListOrigin.DISCOVERY);
+            case 110 -> governor.discovery(ready(46, 6), ListOrigin.DISCOVERY);
             default -> {
                 // nothing but time passes
             }
@@ -121,7 +125,7 @@
     @Test
     void updatesThatAreOrdered() throws IOException {
         VirtualGovernor governor = new VirtualGovernor(endpoint -> HealthCheckResult.OK);
-        governor.discovery(ready(41, 6), true);
+        governor.discovery(ready(41, 6), ListOrigin.LAST_RUN);
         joins(governor, 0, 4, true);
         governor.passes(STEP_MS);
         governor.decides();
@@ -134,7 +138,7 @@
     @Test
     void aTableOfManyLines() throws IOException {
         VirtualGovernor governor = new VirtualGovernor(endpoint -> HealthCheckResult.OK);
-        governor.discovery(ready(41, MANY), true);
+        governor.discovery(ready(41, MANY), ListOrigin.LAST_RUN);
         governor.decides();
         governor.joins(0, "north", 10, true);
         for (int step = 0; step < 60 && !governor.proxies.containsKey(0); step++) {
@@ -288,7 +292,7 @@
             governor.setEjected(replica(1), false);
             governor.setEjected(replica(3), true);
             moment("and is told of withdrawals in any case");
-            governor.discovery(list(42, false, endpoint(1, "draining", 0)), false);
+            governor.discovery(list(42, false, endpoint(1, "draining", 0)), ListOrigin.DISCOVERY);
             governor.setWeight(WIDE, replica(1), 9);
             governor.setWeight(WIDE, replica(2), 9);
             bind(WIDE, 3, ALL);
--- a/src/test/java/sprucelanding/runtime/server/RecordedSocketTest.java
+++ b/src/test/java/sprucelanding/runtime/server/RecordedSocketTest.java
@@ -250,9 +250,10 @@
                             new LoadReportParser("cpu_share"),
                             (id, answer, load) -> told.countDown());
             DiscoveredEndpoint named = new DiscoveredEndpoint(1, "s-1");
-            named.address =
+            named.setPlace(
                     new InetSocketAddress(
-                            InetAddress.getLoopbackAddress(), endpoint.getLocalPort());
+                            InetAddress.getLoopbackAddress(), endpoint.getLocalPort()),
+                    0);
             loop.tryExecute(() -> probes.check(named));
             try (Socket socket = endpoint.accept()) {
                 socket.setSoTimeout(WAIT_MS);
--- a/src/test/java/sprucelanding/runtime/server/ServerHarness.java
+++ b/src/test/java/sprucelanding/runtime/server/ServerHarness.java
@@ -91,7 +91,7 @@
 
     final EventLoop loop;
     final ConnectionListener listener;
-    final GovernorServer.ConfigReloader reloader = new GovernorServer.ConfigReloader();
+    final ConfigReloader reloader = new ConfigReloader();
     final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final Path config;
     private final int port;
--- a/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
+++ b/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
@@ -56,7 +56,7 @@
                     Endpoint::mayBeEjectedElsewhere,
                     Endpoint::isAvailable);
     final UpdateEncoder words =
-            new UpdateEncoder(opening.names("classes"), endpoint -> names.find(endpoint.id).uid);
+            new UpdateEncoder(opening.names("classes"), endpoint -> names.find(endpoint.id).uid());
     final StringBuilder transcript = new StringBuilder();
 
     /** Objects that orders named, for tests that give orders of their own. */
@@ -88,14 +88,14 @@
         for (String endpoint : List.copyOf(probed)) {
             HealthCheckResult answer = endpoints.answers(endpoint);
             double load = answer == HealthCheckResult.OK ? 0.5 : Double.NaN;
-            choice.healthCheckCompleted(names.find(endpoint).id, answer, load);
+            choice.healthCheckCompleted(names.find(endpoint).id(), answer, load);
         }
         probed.clear();
     }
 
-    void discovery(String list, boolean first) {
+    void discovery(String list, ListOrigin origin) {
         JsonObject told = Json.parse(list).asObject();
-        names.applyList(told, first, START_MS + elapsed, choice);
+        names.applyList(told, origin, START_MS + elapsed, choice);
     }
 
     void joins(int proxy, String zone, double share, boolean bare) {
@@ -109,7 +109,7 @@
     }
 
     void reports(String endpoint, int attempts, int failed, double answerTime, double load) {
-        choice.endpointStatsReported(names.find(endpoint).id, attempts, failed, answerTime, load);
+        choice.endpointStatsReported(names.find(endpoint).id(), attempts, failed, answerTime, load);
     }
 
     /** Decides, and writes down the updates that come of it. */
@@ -137,7 +137,7 @@
 
     @Override
     public void setWeight(int table, Endpoint endpoint, double weight) {
-        replicas.put(names.find(endpoint.id).uid, endpoint);
+        replicas.put(names.find(endpoint.id).uid(), endpoint);
         keeps.setWeight(table, endpoint, weight);
     }
 
@@ -170,7 +170,7 @@
 
     @Override
     public void checkHealth(Endpoint replica) {
-        String endpoint = names.find(replica.id).uid;
+        String endpoint = names.find(replica.id).uid();
         probed.add(endpoint);
         transcript.append("at ").append((long) elapsed).append(" ms probe ");
         transcript.append(endpoint).append('\n');
