--- a/src/main/java/sprucelanding/runtime/server/ControllerHost.java
+++ b/src/main/java/sprucelanding/runtime/server/ControllerHost.java
@@ -1,52 +1,47 @@
 package sprucelanding.runtime.server;
 
 import com.eclipsesource.json.JsonObject;
-import java.util.BitSet;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import sprucelanding.control.decision.ControllerOutput;
-import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
-import sprucelanding.control.decision.Proxy;
-import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.decision.RoutingController;
-import sprucelanding.control.distribution.ProxyUpdate;
 import sprucelanding.control.distribution.TableDistributor;
 import sprucelanding.control.settings.SettingsReader;
 import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
- * Where all that is heard comes to the decision module, and its orders go out. Inputs only note;
- * the module decides at most once a tick, and what it orders then is one moment. The module's clock
- * is Unix time as of the start, going on monotonically.
+ * Hosts the controller on the event loop: all that is reported goes in here, and the decisions that
+ * follow at most once a tick go out as one batch of updates. Event loop's thread only, but for the
+ * constructor.
  */
-final class ControllerHost implements ControllerOutput {
+final class ControllerHost {
     /** Words by which the soak finds failed decisions in the log. */
     static final String DECISION_FAILED_TEXT = "a decision failed";
 
-    private final EventLoop loop;
     private final EventLog eventLog;
+    private final ControllerClock clock = new ControllerClock();
     private final RoutingController controller;
-    private final TableDistributor distributor;
-    private final EndpointDirectory endpoints;
-    private final UpdateEncoder encoder;
-    private final double epochOffsetMillis = System.currentTimeMillis() - EventLoop.nowMillis();
-    private final double decisionIntervalMillis;
+    private final DecisionScheduler scheduler;
     private final LoadReportParser reportParser;
     private final HealthChecker healthChecker;
     private final List<String> requestClassNames;
-    private final Map<Integer, UpdateStream> streamsByProxy = new HashMap<>();
-    private boolean decisionScheduled;
-    private long rejectedEntriesLogged;
+    private final EndpointDirectory endpoints;
+    private final TableDistributor distributor;
+    private final OrderForwarder orders;
+    private final UpdateDispatcher dispatcher;
     private double clockErrorLoggedMillis;
-    private double lastDecisionMillis;
 
+    /**
+     * Creates a controller without endpoints and proxies.
+     *
+     * @param seed of the controller's random numbers
+     * @throws sprucelanding.control.settings.MalformedInputException if the settings are unusable
+     */
     ControllerHost(EventLoop loop, EventLog eventLog, SettingsReader settings, long seed) {
-        this.loop = loop;
         this.eventLog = eventLog;
         controller = settings.newController(seed);
-        decisionIntervalMillis = settings.decisionIntervalMillis();
+        scheduler =
+                new DecisionScheduler(
+                        loop, clock, controller, settings.decisionIntervalMillis(), this::decide);
         reportParser = new LoadReportParser(settings.loadField());
         healthChecker =
                 new HealthChecker(
@@ -55,7 +50,9 @@
                         settings.connectTimeoutMillis(),
                         reportParser,
                         (endpointId, result, load) ->
-                                beginInput().healthCheckCompleted(endpointId, result, load));
+                                scheduler
+                                        .beginInput()
+                                        .healthCheckCompleted(endpointId, result, load));
         requestClassNames = settings.names("classes");
         endpoints = new EndpointDirectory(settings.names("zones"), settings.names("kinds"));
         distributor =
@@ -63,75 +60,47 @@
                         requestClassNames.size(),
                         Endpoint::mayBeEjectedElsewhere,
                         Endpoint::isAvailable);
-        encoder =
-                new UpdateEncoder(requestClassNames, endpoint -> endpoints.find(endpoint.id).uid());
-        controller.setTime(unixMillis());
-    }
-
-    private double unixMillis() {
-        return EventLoop.nowMillis() + epochOffsetMillis;
-    }
-
-    /** For an input that comes now. */
-    private RoutingController beginInput() {
-        controller.setTime(unixMillis());
-        if (!decisionScheduled) {
-            decisionScheduled = true;
-            loop.scheduleAt(
-                    Math.max(EventLoop.nowMillis(), lastDecisionMillis + decisionIntervalMillis),
-                    this::decide);
-        }
-        return controller;
+        orders = new OrderForwarder(distributor, healthChecker, endpoints, scheduler, eventLog);
+        dispatcher =
+                new UpdateDispatcher(
+                        distributor,
+                        new UpdateEncoder(
+                                requestClassNames, endpoint -> endpoints.find(endpoint.id).uid()),
+                        eventLog);
+        controller.setTime(clock.nowMillis());
     }
 
+    /** Decides until nothing is left to; what was ordered is sent also if that fails. */
     private void decide() {
-        decisionScheduled = false;
-        lastDecisionMillis = EventLoop.nowMillis();
-        controller.setTime(unixMillis());
         try {
-            while (controller.decide(this)) {
+            while (controller.decide(orders)) {
                 continue;
             }
-        } catch (RuntimeException e) {
+        } catch (RuntimeException e) { // whatever it is: the governor goes on
             eventLog.logFailure(
                     new LogLine(ServerEvent.DECISION_FAILED).withText("text", DECISION_FAILED_TEXT),
                     e);
         }
-        encoder.beginBatch();
-        distributor.flush(this::sendUpdate);
-        logRejectedEntries();
+        dispatcher.sendUpdates();
     }
 
     /**
-     * One update that cannot be written ends its own stream, whose proxy then joins anew; the
-     * others' updates go out.
+     * Applies a list or changes of it.
+     *
+     * @return false if some entries were malformed: the whole list is needed then
+     * @throws sprucelanding.control.settings.MalformedInputException if nothing of it can be used
      */
-    private void sendUpdate(ProxyUpdate update) {
-        UpdateStream stream = streamsByProxy.get(update.proxyId());
-        if (stream == null) {
-            return;
-        }
-        try {
-            stream.write(encoder.encode(update), update.acknowledgementId());
-        } catch (RuntimeException e) {
-            eventLog.logFailure(
-                    new LogLine(ServerEvent.UPDATE_FAILED).with("proxy", update.proxyId()), e);
-            stream.fail("an update that cannot be written");
-        }
-    }
-
-    private void logRejectedEntries() {
-        if (distributor.rejectedEntries() > rejectedEntriesLogged) {
-            rejectedEntriesLogged = distributor.rejectedEntries();
-            eventLog.log(
-                    new LogLine(ServerEvent.GUARD_REFUSED_LINE)
-                            .with("total", rejectedEntriesLogged));
+    boolean applyEndpointList(JsonObject list, ListOrigin origin) {
+        boolean complete =
+                endpoints.applyList(list, origin, clock.nowMillis(), scheduler.beginInput());
+        logList(list);
+        if (endpoints.removeGone(clock.nowMillis(), distributor::hasEntryFor)) {
+            distributor.forget(endpoint -> endpoints.find(endpoint.id) == null);
         }
+        return complete;
     }
 
-    /** Discovery's list or changes; first for the one held before this start. Throws Malformed. */
-    boolean applyEndpointList(JsonObject list, ListOrigin origin) {
-        boolean complete = endpoints.applyList(list, origin, unixMillis(), beginInput());
+    private void logList(JsonObject list) {
         eventLog.log(
                 new LogLine(ServerEvent.ENDPOINTS_CHANGED)
                         .with("rev", endpoints.revision())
@@ -144,12 +113,9 @@
                     new LogLine(ServerEvent.CLOCK_CORRECTED)
                             .with("ahead_ms", Math.round(clockErrorLoggedMillis)));
         }
-        if (endpoints.removeGone(unixMillis(), distributor::hasEntryFor)) {
-            distributor.forget(endpoint -> endpoints.find(endpoint.id) == null);
-        }
-        return complete;
     }
 
+    /** The revision of the endpoint list; -1 while there is none. */
     long revision() {
         return endpoints.revision();
     }
@@ -159,21 +125,22 @@
         return endpoints.zoneIndex(name);
     }
 
-    /** Whether discovery has ever named it. */
+    /** Whether discovery has named the endpoint, and it is not long gone. */
     boolean isKnownEndpoint(String uid) {
         return endpoints.find(uid) != null;
     }
 
-    /** The product's number; -1 if there is none of that name. */
+    /** The request class's number; -1 if there is none of that name. */
     int requestClassIndex(String name) {
         return requestClassNames.indexOf(name);
     }
 
     /** A proxy's stream begins; an earlier one of the proxy ends by that. */
     void proxyJoined(JoinMessage message, UpdateStream stream) {
-        UpdateStream previous = streamsByProxy.put(message.proxyId(), stream);
+        UpdateStream previous = dispatcher.begin(message.proxyId(), stream);
         distributor.proxyJoined(message.proxyId(), message.withoutTables());
-        beginInput()
+        scheduler
+                .beginInput()
                 .proxyJoined(
                         message.proxyId(),
                         message.zoneIndex(),
@@ -184,21 +151,22 @@
         }
     }
 
-    /** Its stream ended; nothing if a newer one of the proxy has begun. */
+    /** A proxy's stream has ended; the proxy has left by that unless a newer one has begun. */
     void proxyLeft(int proxyId, UpdateStream stream) {
-        if (streamsByProxy.remove(proxyId, stream)) {
+        if (dispatcher.end(proxyId, stream)) {
             distributor.proxyLeft(proxyId);
-            beginInput().proxyLeft(proxyId);
+            scheduler.beginInput().proxyLeft(proxyId);
         }
     }
 
-    /** Probes under way. */
-    int healthChecksInFlight() {
-        return healthChecker.inFlight();
+    /** A proxy has acknowledged an update, and all before it. */
+    void updateAcknowledged(int proxyId, int acknowledgementId) {
+        scheduler.beginInput().acknowledged(proxyId, acknowledgementId);
     }
 
-    void updateAcknowledged(int proxyId, int acknowledgementId) {
-        beginInput().acknowledged(proxyId, acknowledgementId);
+    /** Health checks that wait for their results; each takes a descriptor. */
+    int healthChecksInFlight() {
+        return healthChecker.inFlight();
     }
 
     /**
@@ -209,7 +177,8 @@
      */
     void endpointStatsReported(HeardMessage message) {
         double load = reportParser.load(message.loadReport());
-        beginInput()
+        scheduler
+                .beginInput()
                 .endpointStatsReported(
                         endpoints.find(message.endpointUid()).id(),
                         message.attempts(),
@@ -220,67 +189,12 @@
 
     /** Demand at a proxy. */
     void demandReported(UsageMessage message) {
-        beginInput()
+        scheduler
+                .beginInput()
                 .demandReported(
                         message.proxyId(),
                         message.classIndex(),
                         message.requestCount(),
                         message.windowMillis());
     }
-
-    @Override
-    public void setWeight(int table, Endpoint endpoint, double weight) {
-        distributor.setWeight(table, endpoint, weight);
-    }
-
-    @Override
-    public void clearTable(int table) {
-        distributor.clearTable(table);
-    }
-
-    @Override
-    public void setEjected(Endpoint endpoint, boolean ejected) {
-        distributor.setEjected(endpoint, ejected);
-    }
-
-    @Override
-    public void setAdmission(
-            int table, RequestClass requestClass, double admittedShare, int retryPolicy) {
-        distributor.setAdmission(table, requestClass, admittedShare, retryPolicy);
-    }
-
-    @Override
-    public void bindProxy(int table, Proxy proxy, BitSet requestClasses) {
-        distributor.bindProxy(table, proxy, requestClasses);
-    }
-
-    @Override
-    public void requestAcknowledgement(int acknowledgementId) {
-        distributor.requestAcknowledgement(acknowledgementId);
-    }
-
-    @Override
-    public void checkHealth(Endpoint endpoint) {
-        healthChecker.check(endpoints.find(endpoint.id));
-    }
-
-    @Override
-    public void sendToPeers(byte[] payload) {
-        // no decision asks for it
-    }
-
-    @Override
-    public void watchEndpointList() {
-        // the watch is always open
-    }
-
-    @Override
-    public void setTimer(int timerId, double dueMillis) {
-        loop.scheduleAt(dueMillis - epochOffsetMillis, () -> beginInput().timerFired(timerId));
-    }
-
-    @Override
-    public void log(DecisionEvent event) {
-        eventLog.log(event);
-    }
 }
--- a/src/main/java/sprucelanding/runtime/server/DiscoveryWatch.java
+++ b/src/main/java/sprucelanding/runtime/server/DiscoveryWatch.java
@@ -13,26 +13,53 @@
 import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
- * The watch on discovery: dialled again whenever it breaks or falls silent, from the last list that
- * was heard.
+ * The watch on discovery: one long response of lines, each a list or empty. It is connected again
+ * whenever it ends or falls silent, from the last revision that was applied, or for the whole list
+ * after one that could not be used. Event loop's thread only.
+ *
+ * <table>
+ * <caption>States of the watch</caption>
+ * <tr><th>State</th><th>Deadline</th><th>Next state</th></tr>
+ * <tr><td>connecting</td><td>{@link #FIRST_RESPONSE_TIMEOUT_MILLIS}</td>
+ *     <td>watching, with the first bytes; waiting, if it ends; connecting anew, at the deadline or
+ *     with another address</td></tr>
+ * <tr><td>watching</td><td>{@link #IDLE_TIMEOUT_MILLIS} after the last bytes</td>
+ *     <td>waiting, if it ends, also for a list that cannot be used; connecting, at the deadline or
+ *     with another address</td></tr>
+ * <tr><td>waiting</td><td>{@link #RECONNECT_DELAY_MILLIS}</td><td>connecting</td></tr>
+ * </table>
  */
 final class DiscoveryWatch {
-    /** Where lists go; throws Malformed for what is none. False asks for the whole list anew. */
+    /** Where lists go. */
     interface ListHandler {
+        /**
+         * Applies a list.
+         *
+         * @return false if part of it could not be used; the whole list is requested then
+         * @throws RuntimeException if it could not be applied; the whole list is requested then
+         */
         boolean onList(JsonObject list);
 
-        /** The revision to go on from; below 0 for the whole list. */
+        /** The revision to go on from; below 0 to request the whole list. */
         long revision();
     }
 
     private static final int MAX_UNSENT_BYTES = 4096;
     private static final int MAX_LINE_BYTES = 4 << 20;
-    private static final double FIRST_RESPONSE_TIMEOUT_MILLIS =
-            700; // ms until a watch that was dialled says its first word
-    private static final double IDLE_TIMEOUT_MILLIS =
-            2700; // ms without a word, an empty line every 2 s included
-    private static final double RECONNECT_DELAY_MILLIS =
-            150; // ms until it is dialled again, once it ended
+
+    /** ms from connecting to the first bytes. */
+    private static final double FIRST_RESPONSE_TIMEOUT_MILLIS = 700;
+
+    /** ms without bytes; discovery sends an empty line at least every 2 s. */
+    private static final double IDLE_TIMEOUT_MILLIS = 2700;
+
+    /** ms until it is connected again once it has ended. */
+    private static final double RECONNECT_DELAY_MILLIS = 150;
+
+    private static final String WATCH_TARGET = "/v1/endpoints?stream=1";
+    private static final String REVISION_PARAMETER = "&index=";
+    private static final long WHOLE_LIST = -1;
+    private static final int STATUS_OK = 200;
 
     private final EventLoop loop;
     private final ListHandler listHandler;
@@ -40,9 +67,14 @@
     private InetSocketAddress address;
     private WatchConnection current;
     private EventLoop.Timer timer;
+
+    /** The last list could not be used, and the whole one is needed. */
     private boolean fullListNeeded;
+
+    /** Whether it is watching, for the log. */
     private boolean available;
 
+    /** Creates a watch that is not connected. */
     DiscoveryWatch(
             EventLoop loop, InetSocketAddress address, ListHandler listHandler, EventLog eventLog) {
         this.loop = loop;
@@ -51,6 +83,7 @@
         this.eventLog = eventLog;
     }
 
+    /** Connects. */
     void start() {
         current = new WatchConnection();
         restartTimeout(FIRST_RESPONSE_TIMEOUT_MILLIS);
@@ -99,7 +132,7 @@
         }
     }
 
-    /** One connection; once another is dialled, what comes on it counts for nothing. */
+    /** One connection; once it is not the current one, what comes on it counts for nothing. */
     private final class WatchConnection implements TcpConnection.Listener {
         private final HttpParser parser =
                 new HttpParser(this::onHead).streamBodiesTo(this::onBodyPart);
@@ -116,11 +149,13 @@
 
         @Override
         public void onConnected(TcpConnection connection) {
-            long revision = fullListNeeded ? -1 : listHandler.revision();
+            long revision = fullListNeeded ? WHOLE_LIST : listHandler.revision();
             connection.write(
                     HttpParser.request(
                             "GET",
-                            "/v1/endpoints?stream=1" + (revision < 0 ? "" : "&index=" + revision)));
+                            revision < 0
+                                    ? WATCH_TARGET
+                                    : WATCH_TARGET + REVISION_PARAMETER + revision));
         }
 
         @Override
@@ -132,13 +167,14 @@
         }
 
         private void onHead(HttpParser.Message response) {
-            if (response.status() != 200) {
+            if (response.status() != STATUS_OK) {
                 connection.close("it answers " + response.status());
             }
         }
 
         private void onBodyPart(byte[] part) {
-            for (int start = 0; start < part.length && current == this; ) {
+            int start = 0;
+            while (start < part.length && current == this) {
                 int end = start;
                 while (end < part.length && part[end] != '\n') {
                     end++;
@@ -167,7 +203,7 @@
                 }
                 eventLog.log(ServerEvent.DISCOVERY_LIST_INCOMPLETE);
             } catch (RuntimeException
-                    | StackOverflowError e) { // whatever it was: this list has not come into force
+                    | StackOverflowError e) { // whatever it is: it was not applied
                 eventLog.log(ServerEvent.DISCOVERY_LIST_UNUSABLE, e.getMessage());
             }
             fullListNeeded = true;
--- a/src/main/java/sprucelanding/runtime/server/UpdateEncoder.java
+++ b/src/main/java/sprucelanding/runtime/server/UpdateEncoder.java
@@ -15,49 +15,73 @@
 import sprucelanding.control.settings.DecimalFormatter;
 
 /**
- * Puts updates into the platform's words: JSON objects, one a line. What proxies share is put into
- * words once a moment.
+ * Encodes updates as the platform's messages: JSON objects, one a line, continued where request
+ * classes differ in table or admission. What proxies share is encoded once a batch.
  */
 final class UpdateEncoder {
-    private static final int MAX_ENTRIES_PER_OBJECT = 4096; // of one object, far below its 1 MiB
+    /** Entries of one object, which stays far below the 1 MiB that a message may have. */
+    private static final int MAX_ENTRIES_PER_OBJECT = 4096;
+
+    private static final String BEGIN_UPDATE = "{\"" + MessageFields.TYPE + "\":\"update\"";
+    private static final String CONTINUED = field("continued") + "true";
+    private static final String FULL = field("full") + "true";
+    private static final String REQUEST_CLASSES = field("routes") + '[';
+    private static final String ENTRIES = field("endpoints") + '[';
+    private static final String ADMITTED_SHARE = field("admit");
+    private static final String RETRY_POLICY = field("policy");
+    private static final String EJECTED = field("eject") + '[';
+    private static final String RESTORED = field("restore") + '[';
+    private static final String ACKNOWLEDGEMENT_ID = field("nonce_out");
 
     private final List<String> requestClassNames;
     private final Function<Endpoint, String> endpointName;
     private final Map<TableUpdate, List<String>> encodedTables = new IdentityHashMap<>();
 
+    /**
+     * Creates an encoder.
+     *
+     * @param requestClassNames names of the request classes, by number
+     * @param endpointName discovery's name of an endpoint
+     */
     UpdateEncoder(List<String> requestClassNames, Function<Endpoint, String> endpointName) {
         this.requestClassNames = requestClassNames;
         this.endpointName = endpointName;
     }
 
-    /** The next update belongs to a new moment. */
+    /** A field of an object that has a field before it, up to its value. */
+    private static String field(String name) {
+        return ",\"" + name + "\":";
+    }
+
+    /** The next update belongs to a new batch: what was encoded for others holds no longer. */
     void beginBatch() {
         encodedTables.clear();
     }
 
+    /** An update as bytes, with all its lines. */
     byte[] encode(ProxyUpdate update) {
         List<String> objects = new ArrayList<>();
         for (TableUpdate table : update.tables()) {
             objects.addAll(encodedTables.computeIfAbsent(table, this::encodeTable));
         }
         StringBuilder tail = new StringBuilder();
-        appendEndpoints(tail, "eject", update.ejected());
-        appendEndpoints(tail, "restore", update.restored());
+        appendEndpoints(tail, EJECTED, update.ejected());
+        appendEndpoints(tail, RESTORED, update.restored());
         if (update.acknowledgementId() != ProxyUpdate.NO_ACKNOWLEDGEMENT) {
-            tail.append(",\"nonce_out\":").append(update.acknowledgementId());
+            tail.append(ACKNOWLEDGEMENT_ID).append(update.acknowledgementId());
         }
         StringBuilder text = new StringBuilder(1024);
         int last = Math.max(0, objects.size() - 1);
         for (int i = 0; i <= last; i++) {
-            text.append("{\"msg\":\"update\"").append(objects.isEmpty() ? "" : objects.get(i));
-            text.append(i < last ? ",\"continued\":true" : tail).append("}\n");
+            text.append(BEGIN_UPDATE).append(objects.isEmpty() ? "" : objects.get(i));
+            text.append(i < last ? CONTINUED : tail).append("}\n");
         }
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
     /**
-     * The objects of a part without their braces: its lines with the levels that go for all of it,
-     * then other levels.
+     * The objects of a table without their braces: its entries with the admission of all its
+     * request classes, or else the entries and then each admission with the classes that it is for.
      */
     private List<String> encodeTable(TableUpdate table) {
         List<String> objects = new ArrayList<>();
@@ -72,7 +96,7 @@
         }
         if (table.full || !table.weights.isEmpty() || commonLevel != null) {
             StringBuilder text = beginRoutes(table.requestClasses);
-            text.append(table.full ? ",\"full\":true" : "");
+            text.append(table.full ? FULL : "");
             int entryCount = 0;
             for (Map.Entry<Endpoint, Double> entry : table.weights.entrySet()) {
                 if (entryCount == MAX_ENTRIES_PER_OBJECT) {
@@ -80,11 +104,9 @@
                     text = beginRoutes(table.requestClasses);
                     entryCount = 0;
                 }
-                text.append(entryCount++ == 0 ? ",\"endpoints\":[[\"" : ",[\"")
-                        .append(endpointName.apply(entry.getKey()))
-                        .append("\",");
-                DecimalFormatter.append(text, entry.getValue());
-                text.append(']');
+                text.append(entryCount == 0 ? ENTRIES : ",");
+                appendEntry(text, entry.getKey(), entry.getValue());
+                entryCount++;
             }
             text.append(entryCount > 0 ? "]" : "");
             objects.add(
@@ -101,11 +123,12 @@
     private StringBuilder beginRoutes(BitSet requestClasses) {
         StringBuilder text = new StringBuilder(256);
         if (requestClasses.cardinality() < requestClassNames.size()) {
-            text.append(",\"routes\":[");
-            for (int classIndex = requestClasses.nextSetBit(0), written = 0;
+            text.append(REQUEST_CLASSES);
+            int firstClass = requestClasses.nextSetBit(0);
+            for (int classIndex = firstClass;
                     classIndex >= 0;
                     classIndex = requestClasses.nextSetBit(classIndex + 1)) {
-                text.append(written++ == 0 ? "\"" : ",\"")
+                text.append(classIndex == firstClass ? "\"" : ",\"")
                         .append(requestClassNames.get(classIndex))
                         .append('"');
             }
@@ -116,18 +139,28 @@
 
     private static StringBuilder appendAdmission(
             StringBuilder text, TableUpdate.AdmissionLevel admission) {
-        text.append(",\"admit\":");
+        text.append(ADMITTED_SHARE);
         DecimalFormatter.append(text, admission.admittedShare());
-        return text.append(",\"policy\":").append(admission.retryPolicy());
+        return text.append(RETRY_POLICY).append(admission.retryPolicy());
+    }
+
+    private void appendEntry(StringBuilder text, Endpoint endpoint, double weight) {
+        text.append("[\"").append(endpointName.apply(endpoint)).append("\",");
+        DecimalFormatter.append(text, weight);
+        text.append(']');
     }
 
-    private void appendEndpoints(StringBuilder text, String field, Collection<Endpoint> endpoints) {
-        int written = 0;
+    /** Appends a field with a list of endpoints, begun by that; nothing if there are none. */
+    private void appendEndpoints(
+            StringBuilder text, String fieldBegin, Collection<Endpoint> endpoints) {
+        if (endpoints.isEmpty()) {
+            return;
+        }
+        String separator = fieldBegin;
         for (Endpoint endpoint : endpoints) {
-            text.append(written++ == 0 ? ",\"" + field + "\":[\"" : ",\"")
-                    .append(endpointName.apply(endpoint))
-                    .append('"');
+            text.append(separator).append('"').append(endpointName.apply(endpoint)).append('"');
+            separator = ",";
         }
-        text.append(written > 0 ? "]" : "");
+        text.append(']');
     }
 }
--- a/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
+++ b/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
@@ -8,7 +8,9 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
+import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -214,11 +216,7 @@
 
     @Test
     void failedWriteEndsOnlyItsOwnStream() throws Exception {
-        EventLog eventLog =
-                new EventLog(
-                        new java.io.PrintStream(
-                                new java.io.ByteArrayOutputStream(), true, StandardCharsets.UTF_8),
-                        EventLoop::nowMillis);
+        EventLog eventLog = discardedLog();
         JsonObject settings =
                 Json.parse(
                                 "{\"classes\":[{\"name\":\"read\"}],\"zones\":[\"a\"],\"kinds\":[\"m1\"]}")
@@ -272,68 +270,65 @@
         }
     }
 
+    /** Fails to apply the first list, and takes the revisions of those after it down. */
+    private static final class FailingOnceHandler implements DiscoveryWatch.ListHandler {
+        final BlockingQueue<Integer> revisions = new LinkedBlockingQueue<>();
+        private int lists;
+
+        @Override
+        public boolean onList(JsonObject list) {
+            if (lists++ == 0) {
+                throw new IllegalStateException("half of it was taken in");
+            }
+            revisions.add(list.getInt("rev", 0));
+            return true;
+        }
+
+        @Override
+        public long revision() {
+            return 6;
+        }
+    }
+
+    /** Answers each watch with one list, and takes its request line down. */
+    private static void answerWatches(ServerSocket server, BlockingQueue<String> requests) {
+        try {
+            while (true) {
+                ServerHarness.Peer peer = new ServerHarness.Peer(server.accept());
+                requests.add(peer.readLine());
+                peer.send(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                + ServerHarness.chunk(ServerHarness.list(7, true)));
+            }
+        } catch (IOException e) {
+            // the test has ended
+        }
+    }
+
+    private static EventLog discardedLog() {
+        return new EventLog(
+                new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8),
+                EventLoop::nowMillis);
+    }
+
     @Test
     void listThatFailsToApplyIsRequestedAgainInFull() throws Exception {
         BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        BlockingQueue<Integer> revisions = new LinkedBlockingQueue<>();
+        FailingOnceHandler handler = new FailingOnceHandler();
         try (EventLoop loop = EventLoop.start("watch");
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Thread discoveryThread =
-                    new Thread(
-                            () -> {
-                                try {
-                                    while (true) {
-                                        ServerHarness.Peer peer =
-                                                new ServerHarness.Peer(server.accept());
-                                        requests.add(peer.readLine());
-                                        peer.send(
-                                                "HTTP/1.1 200 OK\r\n"
-                                                        + "Transfer-Encoding: chunked\r\n\r\n"
-                                                        + ServerHarness.chunk(
-                                                                ServerHarness.list(7, true)));
-                                    }
-                                } catch (IOException e) {
-                                    // the test has ended
-                                }
-                            });
+            Thread discoveryThread = new Thread(() -> answerWatches(server, requests));
             discoveryThread.setDaemon(true);
             discoveryThread.start();
-            EventLog eventLog =
-                    new EventLog(
-                            new java.io.PrintStream(
-                                    new java.io.ByteArrayOutputStream(),
-                                    true,
-                                    StandardCharsets.UTF_8),
-                            EventLoop::nowMillis);
-            DiscoveryWatch watch =
-                    new DiscoveryWatch(
-                            loop,
-                            new InetSocketAddress(
-                                    InetAddress.getLoopbackAddress(), server.getLocalPort()),
-                            new DiscoveryWatch.ListHandler() {
-                                private int lists;
-
-                                @Override
-                                public boolean onList(JsonObject list) {
-                                    if (lists++ == 0) {
-                                        throw new IllegalStateException("half of it was taken in");
-                                    }
-                                    revisions.add(list.getInt("rev", 0));
-                                    return true;
-                                }
-
-                                @Override
-                                public long revision() {
-                                    return 6;
-                                }
-                            },
-                            eventLog);
+            InetSocketAddress address =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
+            DiscoveryWatch watch = new DiscoveryWatch(loop, address, handler, discardedLog());
             loop.tryExecute(watch::start);
             assertTrue(requests.poll(15, TimeUnit.SECONDS).contains("index=6"));
             String again = requests.poll(15, TimeUnit.SECONDS);
             assertNotNull(again, "the watch stayed on a list that has not come into force");
             assertFalse(again.contains("index"), again);
-            assertEquals(7, revisions.poll(15, TimeUnit.SECONDS));
+            assertEquals(7, handler.revisions.poll(15, TimeUnit.SECONDS));
         }
     }
 }
--- a/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
+++ b/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
@@ -79,50 +79,33 @@
     @Test
     void clockErrorIsDetectedByTheNextStartAndCorrectsAllStartTimes() {
         for (long offsetMillis : new long[] {3_600_000, -3_600_000}) {
-            EndpointDirectory localDirectory = new EndpointDirectory(List.of("a"), List.of("m1"));
+            EndpointDirectory shifted = new EndpointDirectory(List.of("a"), List.of("m1"));
             long wallMillis = 1_796_000_000_000L;
             double nowMillis = wallMillis + offsetMillis;
-            localDirectory.applyList(
-                    Json.parse(
-                                    ServerHarness.list(
-                                            1,
-                                            true,
-                                            startedEntry("s-1", wallMillis - 10_000),
-                                            ServerHarness.entry("s-2", "ready")))
-                            .asObject(),
-                    ListOrigin.LAST_RUN,
-                    nowMillis,
-                    controller);
-            localDirectory.applyList(
-                    Json.parse(
-                                    ServerHarness.list(
-                                            2, false, startedEntry("s-3", wallMillis - 5_000)))
-                            .asObject(),
-                    ListOrigin.DISCOVERY,
-                    nowMillis,
-                    controller);
-            localDirectory.applyList(
-                    Json.parse(
-                                    ServerHarness.list(
-                                            3, false, startedEntry("s-4", wallMillis + 1_000)))
-                            .asObject(),
-                    ListOrigin.DISCOVERY,
-                    nowMillis + 2_000,
-                    controller);
-            assertEquals(
-                    1_000,
-                    nowMillis + 2_000 - localDirectory.find("s-4").startedAtMillis(),
-                    1_500,
-                    "step " + offsetMillis);
-            assertEquals(
-                    12_000,
-                    nowMillis + 2_000 - localDirectory.find("s-1").startedAtMillis(),
-                    2_500,
-                    "step " + offsetMillis);
-            assertEquals(0, localDirectory.find("s-2").startedAtMillis(), "long past");
+            String known =
+                    ServerHarness.list(
+                            1,
+                            true,
+                            startedEntry("s-1", wallMillis - 10_000),
+                            ServerHarness.entry("s-2", "ready"));
+            apply(shifted, known, ListOrigin.LAST_RUN, nowMillis);
+            String first = ServerHarness.list(2, false, startedEntry("s-3", wallMillis - 5_000));
+            apply(shifted, first, ListOrigin.DISCOVERY, nowMillis);
+            String next = ServerHarness.list(3, false, startedEntry("s-4", wallMillis + 1_000));
+            apply(shifted, next, ListOrigin.DISCOVERY, nowMillis + 2_000);
+            String step = "step " + offsetMillis;
+            double s4Age = nowMillis + 2_000 - shifted.find("s-4").startedAtMillis();
+            assertEquals(1_000, s4Age, 1_500, step);
+            double s1Age = nowMillis + 2_000 - shifted.find("s-1").startedAtMillis();
+            assertEquals(12_000, s1Age, 2_500, step);
+            assertEquals(0, shifted.find("s-2").startedAtMillis(), "long past");
         }
     }
 
+    private void apply(EndpointDirectory target, String list, ListOrigin origin, double nowMillis) {
+        target.applyList(Json.parse(list).asObject(), origin, nowMillis, controller);
+    }
+
     @Test
     void onlyEndpointsLongGoneAreRemoved() {
         applyList(
--- a/src/test/java/sprucelanding/runtime/server/RecordedPlatformTest.java
+++ b/src/test/java/sprucelanding/runtime/server/RecordedPlatformTest.java
@@ -50,7 +50,9 @@
                         .toArray(String[]::new));
     }
 
-    /** Joins, list changes, sick and silent endpoints, overload, and proxies that come and go. */
+    /**
+     * Joins, list changes, failing and silent endpoints, overload, and proxies that come and go.
+     */
     @Test
     void updatesThatAreDecided() throws IOException {
         int[] step = {0};
@@ -60,53 +62,55 @@
                                 endpoint.equals("e-7") && step[0] >= 30 && step[0] < 50
                                         ? HealthCheckResult.UNREACHABLE
                                         : HealthCheckResult.OK);
-        governor.discovery(ready(41, 10), ListOrigin.LAST_RUN);
+        governor.applyList(ready(41, 10), ListOrigin.LAST_RUN);
         for (step[0] = 0; step[0] < STEPS; step[0]++) {
-            governor.passes(STEP_MS);
-            happens(governor, step[0]);
+            governor.advance(STEP_MS);
+            applyStep(governor, step[0]);
             if (step[0] % STEPS_PER_REPORT == 3) {
-                reports(governor, step[0]);
+                reportLoad(governor, step[0]);
             }
-            governor.decides();
+            governor.decide();
         }
         WireRecording.check("platform/decided-updates.out", governor.transcript.toString());
     }
 
-    private static void happens(VirtualGovernor governor, int step) {
+    private static void applyStep(VirtualGovernor governor, int step) {
         switch (step) {
-            case 1 -> joins(governor, 0, PROXIES, true);
+            case 1 -> joinProxies(governor, 0, PROXIES, true);
             case 14 ->
-                    governor.discovery(
+                    governor.applyList(
                             list(42, false, endpoint(2, "draining", 0), endpoint(3, "gone", 0)),
                             ListOrigin.DISCOVERY);
             case 18 ->
-                    governor.discovery(
+                    governor.applyList(
                             list(43, false, endpoint(11, "ready", 1_700_000_004_000L)),
                             ListOrigin.DISCOVERY);
-            case 24 -> governor.leaves(2);
-            case 27 -> joins(governor, 2, 3, false);
-            case 29 -> joins(governor, 8, 11, false);
+            case 24 -> governor.removeProxy(2);
+            case 27 -> joinProxies(governor, 2, 3, false);
+            case 29 -> joinProxies(governor, 8, 11, false);
             case 55 ->
-                    governor.discovery(
+                    governor.applyList(
                             list(44, false, endpoint(2, "ready", 0)), ListOrigin.DISCOVERY);
             case 60 ->
-                    governor.discovery(
+                    governor.applyList(
                             list(45, false, endpoint(5, "ready", 1_700_000_015_000L)),
                             ListOrigin.DISCOVERY);
-            case 110 -> governor.discovery(ready(46, 6), ListOrigin.DISCOVERY);
+            case 110 -> governor.applyList(ready(46, 6), ListOrigin.DISCOVERY);
             default -> {
                 // nothing but time passes
             }
         }
     }
 
-    private static void joins(VirtualGovernor governor, int from, int to, boolean bare) {
+    private static void joinProxies(
+            VirtualGovernor governor, int from, int to, boolean withoutTables) {
         for (int proxy = from; proxy < to; proxy++) {
-            governor.joins(proxy, proxy % 2 == 0 ? "north" : "south", 20 + proxy, bare);
+            governor.joinProxy(
+                    proxy, proxy % 2 == 0 ? "north" : "south", 20 + proxy, withoutTables);
         }
     }
 
-    private static void reports(VirtualGovernor governor, int step) {
+    private static void reportLoad(VirtualGovernor governor, int step) {
         boolean overload = step >= 70 && step < 95;
         for (int number = 1; number <= 10; number++) {
             boolean sick = number == 4 && step >= 32 && step < 48;
@@ -114,10 +118,11 @@
             double load = overload ? 0.99 : 0.4 + 0.05 * (number % 4);
             int attempts = 30 + number;
             int failed = silent ? attempts : sick ? 25 : overload ? 6 : 0;
-            governor.reports("e-" + number, attempts, failed, overload ? 700 : 30 + number, load);
+            governor.reportStats(
+                    "e-" + number, attempts, failed, overload ? 700 : 30 + number, load);
         }
         for (int proxy = 0; proxy < PROXIES; proxy++) {
-            governor.choice.demandReported(proxy, proxy % 3, overload ? 90 : 25, 1000);
+            governor.controller.demandReported(proxy, proxy % 3, overload ? 90 : 25, 1000);
         }
     }
 
@@ -125,11 +130,11 @@
     @Test
     void updatesThatAreOrdered() throws IOException {
         VirtualGovernor governor = new VirtualGovernor(endpoint -> HealthCheckResult.OK);
-        governor.discovery(ready(41, 6), ListOrigin.LAST_RUN);
-        joins(governor, 0, 4, true);
-        governor.passes(STEP_MS);
-        governor.decides();
-        governor.passes(STEP_MS);
+        governor.applyList(ready(41, 6), ListOrigin.LAST_RUN);
+        joinProxies(governor, 0, 4, true);
+        governor.advance(STEP_MS);
+        governor.decide();
+        governor.advance(STEP_MS);
         new OrderScript(governor).run();
         WireRecording.check("platform/ordered-updates.out", governor.transcript.toString());
     }
@@ -138,18 +143,18 @@
     @Test
     void aTableOfManyLines() throws IOException {
         VirtualGovernor governor = new VirtualGovernor(endpoint -> HealthCheckResult.OK);
-        governor.discovery(ready(41, MANY), ListOrigin.LAST_RUN);
-        governor.decides();
-        governor.joins(0, "north", 10, true);
-        for (int step = 0; step < 60 && !governor.proxies.containsKey(0); step++) {
-            governor.passes(STEP_MS);
-            governor.decides();
+        governor.applyList(ready(41, MANY), ListOrigin.LAST_RUN);
+        governor.decide();
+        governor.joinProxy(0, "north", 10, true);
+        for (int step = 0; step < 60 && !governor.proxiesById.containsKey(0); step++) {
+            governor.advance(STEP_MS);
+            governor.decide();
         }
         governor.transcript.setLength(0);
         BitSet first = BitSet.valueOf(new long[] {1});
-        governor.replicas.values().forEach(each -> governor.setWeight(900, each, 1));
-        governor.bindProxy(900, governor.proxies.get(0), first);
-        governor.writes();
+        governor.endpointsByUid.values().forEach(each -> governor.setWeight(900, each, 1));
+        governor.bindProxy(900, governor.proxiesById.get(0), first);
+        governor.writeUpdates();
         WireRecording.check("platform/many-lines.out", objectsByLine(governor.transcript));
     }
 
@@ -162,7 +167,7 @@
                 .collect(Collectors.joining("\n", "", "\n"));
     }
 
-    /** Orders on tables of its own, moment by moment. */
+    /** Orders on tables of its own, batch by batch. */
     private static final class OrderScript {
         private static final BitSet ALL = BitSet.valueOf(new long[] {7});
         private static final BitSet FIRST = BitSet.valueOf(new long[] {1});
@@ -178,125 +183,125 @@
 
         void run() {
             numbers();
-            levels();
+            admissions();
             severalTables();
             changes();
-            withdrawals();
-            leavers();
+            ejections();
+            departures();
         }
 
-        private void moment(String title) {
+        private void writeBatch(String title) {
             governor.transcript.append("== ").append(title).append('\n');
-            governor.writes();
+            governor.writeUpdates();
         }
 
-        private Endpoint replica(int number) {
-            return governor.replicas.get("e-" + number);
+        private Endpoint listedEndpoint(int number) {
+            return governor.endpointsByUid.get("e-" + number);
         }
 
-        private void level(int table, int product, double letIn, int retry) {
-            RequestClass of = governor.products.get(product);
-            governor.setAdmission(table, of, letIn, retry);
+        private void setAdmission(int table, int product, double admittedShare, int retryPolicy) {
+            RequestClass of = governor.requestClassesByIndex.get(product);
+            governor.setAdmission(table, of, admittedShare, retryPolicy);
         }
 
         private void bind(int table, int proxy, BitSet classes) {
-            governor.bindProxy(table, governor.proxies.get(proxy), classes);
+            governor.bindProxy(table, governor.proxiesById.get(proxy), classes);
         }
 
         private void numbers() {
             double[] weights = {1.5, 2e7, 0.1 + 0.2, 33.3333335, 123456789.123456789, 0.000001};
             for (int i = 0; i < weights.length; i++) {
-                governor.setWeight(WIDE, replica(i + 1), weights[i]);
+                governor.setWeight(WIDE, listedEndpoint(i + 1), weights[i]);
             }
             bind(WIDE, 0, ALL);
-            moment("a whole table, numbers of many kinds");
-            governor.setWeight(WIDE, replica(2), 0.9999999);
-            governor.setWeight(WIDE, replica(3), 1e-9);
+            writeBatch("a whole table, numbers of many kinds");
+            governor.setWeight(WIDE, listedEndpoint(2), 0.9999999);
+            governor.setWeight(WIDE, listedEndpoint(3), 1e-9);
             governor.requestAcknowledgement(0);
-            moment("changed lines and the least receipt");
+            writeBatch("changed lines and the least receipt");
         }
 
-        private void levels() {
+        private void admissions() {
             for (int product = 0; product < 3; product++) {
-                level(WIDE, product, 0.75, 1);
+                setAdmission(WIDE, product, 0.75, 1);
             }
-            moment("one level for all classes");
-            level(WIDE, 0, 0, 0);
-            level(WIDE, 1, 1, 2);
-            level(WIDE, 2, 0, 0);
-            moment("levels that differ, two of them alike");
-            governor.setWeight(WIDE, replica(1), 4);
-            level(WIDE, 1, 0.333333333, 3);
-            moment("a line and the level of one class");
+            writeBatch("one level for all classes");
+            setAdmission(WIDE, 0, 0, 0);
+            setAdmission(WIDE, 1, 1, 2);
+            setAdmission(WIDE, 2, 0, 0);
+            writeBatch("levels that differ, two of them alike");
+            governor.setWeight(WIDE, listedEndpoint(1), 4);
+            setAdmission(WIDE, 1, 0.333333333, 3);
+            writeBatch("a line and the level of one class");
             bind(WIDE, 1, ALL);
             governor.requestAcknowledgement(59_999);
-            moment("a whole table with levels that differ");
+            writeBatch("a whole table with levels that differ");
         }
 
         private void severalTables() {
-            governor.setWeight(NARROW, replica(5), 7);
-            level(NARROW, 1, 0.5, 1);
-            level(NARROW, 2, 0.5, 1);
+            governor.setWeight(NARROW, listedEndpoint(5), 7);
+            setAdmission(NARROW, 1, 0.5, 1);
+            setAdmission(NARROW, 2, 0.5, 1);
             bind(NARROW, 2, LAST_TWO);
             bind(WIDE, 2, FIRST);
             governor.requestAcknowledgement(12);
-            moment("two tables for one proxy");
+            writeBatch("two tables for one proxy");
             bind(NARROW, 0, FIRST);
-            moment("one class goes to a table without a level for it");
+            writeBatch("one class goes to a table without a level for it");
             bind(WIDE, 0, FIRST);
-            moment("and back");
+            writeBatch("and back");
         }
 
         private void changes() {
-            governor.setWeight(WIDE, replica(4), 0);
-            governor.setWeight(NARROW, replica(5), 8);
+            governor.setWeight(WIDE, listedEndpoint(4), 0);
+            governor.setWeight(NARROW, listedEndpoint(5), 8);
             governor.requestAcknowledgement(13);
-            moment("changes of two tables");
-            governor.setWeight(NARROW, replica(6), 2);
-            governor.setWeight(NARROW, replica(6), 0);
-            moment("a line that comes and goes in one moment");
+            writeBatch("changes of two tables");
+            governor.setWeight(NARROW, listedEndpoint(6), 2);
+            governor.setWeight(NARROW, listedEndpoint(6), 0);
+            writeBatch("a line that comes and goes in one moment");
             governor.clearTable(NARROW);
-            moment("a table is cleared");
+            writeBatch("a table is cleared");
             governor.clearTable(WIDE);
-            governor.setWeight(WIDE, replica(1), 3);
-            governor.setWeight(WIDE, replica(2), 3);
-            governor.setWeight(WIDE, replica(2), 0);
-            moment("a table is cleared and laid anew");
-            moment("nothing was ordered");
+            governor.setWeight(WIDE, listedEndpoint(1), 3);
+            governor.setWeight(WIDE, listedEndpoint(2), 3);
+            governor.setWeight(WIDE, listedEndpoint(2), 0);
+            writeBatch("a table is cleared and laid anew");
+            writeBatch("nothing was ordered");
         }
 
-        private void withdrawals() {
-            governor.setEjected(replica(1), true);
-            governor.setEjected(replica(6), true);
-            moment("withdrawals");
-            governor.setEjected(replica(1), false);
-            moment("one is let back in");
-            governor.setEjected(replica(1), true);
-            governor.setEjected(replica(1), false);
-            moment("out and back in one moment");
-            governor.setWeight(WIDE, replica(1), 5);
-            level(WIDE, 0, 0.25, 0);
-            governor.setEjected(replica(1), true);
-            governor.setEjected(replica(6), false);
+        private void ejections() {
+            governor.setEjected(listedEndpoint(1), true);
+            governor.setEjected(listedEndpoint(6), true);
+            writeBatch("withdrawals");
+            governor.setEjected(listedEndpoint(1), false);
+            writeBatch("one is let back in");
+            governor.setEjected(listedEndpoint(1), true);
+            governor.setEjected(listedEndpoint(1), false);
+            writeBatch("out and back in one moment");
+            governor.setWeight(WIDE, listedEndpoint(1), 5);
+            setAdmission(WIDE, 0, 0.25, 0);
+            governor.setEjected(listedEndpoint(1), true);
+            governor.setEjected(listedEndpoint(6), false);
             governor.requestAcknowledgement(14);
-            moment("lines, a level, a withdrawal, a restoration and a receipt together");
+            writeBatch("lines, a level, a withdrawal, a restoration and a receipt together");
         }
 
-        private void leavers() {
-            governor.leaves(1);
-            governor.setWeight(WIDE, replica(1), 6);
-            moment("one proxy has left");
-            governor.joins(1, "south", 5, false);
+        private void departures() {
+            governor.removeProxy(1);
+            governor.setWeight(WIDE, listedEndpoint(1), 6);
+            writeBatch("one proxy has left");
+            governor.joinProxy(1, "south", 5, false);
             bind(WIDE, 1, ALL);
-            moment("it comes back with tables of elsewhere");
-            governor.setEjected(replica(1), false);
-            governor.setEjected(replica(3), true);
-            moment("and is told of withdrawals in any case");
-            governor.discovery(list(42, false, endpoint(1, "draining", 0)), ListOrigin.DISCOVERY);
-            governor.setWeight(WIDE, replica(1), 9);
-            governor.setWeight(WIDE, replica(2), 9);
+            writeBatch("it comes back with tables of elsewhere");
+            governor.setEjected(listedEndpoint(1), false);
+            governor.setEjected(listedEndpoint(3), true);
+            writeBatch("and is told of withdrawals in any case");
+            governor.applyList(list(42, false, endpoint(1, "draining", 0)), ListOrigin.DISCOVERY);
+            governor.setWeight(WIDE, listedEndpoint(1), 9);
+            governor.setWeight(WIDE, listedEndpoint(2), 9);
             bind(WIDE, 3, ALL);
-            moment("an endpoint that left enters no table");
+            writeBatch("an endpoint that left enters no table");
         }
     }
 }
--- a/src/test/java/sprucelanding/runtime/server/RecordedSocketTest.java
+++ b/src/test/java/sprucelanding/runtime/server/RecordedSocketTest.java
@@ -35,6 +35,40 @@
     private static final String HEARD =
             "{\"msg\":\"heard\",\"az\":%s,\"host\":%s,\"n\":%s,\"bad\":%s,\"avg\":%s,\"window\":%s%s}\n";
 
+    /** First messages of connections, all of which are rejected. */
+    private static final List<String> HANDSHAKES =
+            List.of(
+                    "noise\n",
+                    "\n",
+                    "[1]\n",
+                    "7\n",
+                    "{}\n",
+                    "{\"msg\":7}\n",
+                    "{\"msg\":\"ping\"\n",
+                    "GET / HTTP/1.1\r\nHost: l\r\n\r\n",
+                    "{\"msg\":\"update\",\"eject\":[\"s-1\"]}\n",
+                    "{\"msg\":\"applied\",\"sidecar\":3,\"version\":1,\"lag_ms\":3}\n",
+                    USAGE.formatted("3", "\"read\"", "19", "0", "1000.0"),
+                    HEARD.formatted("\"a\"", "\"s-1\"", "2", "0", "4", "1000", ""),
+                    JOINED.formatted("60", "\"a\"", "21.5", "true"),
+                    JOINED.formatted("-1", "\"a\"", "21.5", "true"),
+                    JOINED.formatted("1.5", "\"a\"", "21.5", "true"),
+                    JOINED.formatted("\"1\"", "\"a\"", "21.5", "true"),
+                    JOINED.formatted("1", "\"nowhere\"", "21.5", "true"),
+                    JOINED.formatted("1", "null", "21.5", "true"),
+                    JOINED.formatted("1", "\"a\"", "\"much\"", "true"),
+                    JOINED.formatted("1", "\"a\"", "-1", "true"),
+                    JOINED.formatted("1", "\"a\"", "1e300", "true"),
+                    JOINED.formatted("1", "\"a\"", "21.5", "1"),
+                    "{\"msg\":\"joined\",\"sidecar\":1,\"az\":\"a\",\"share\":21.5}\n",
+                    "{\"msg\":\"collector\",\"az\":\"nowhere\"}\n",
+                    "{\"msg\":\"collector\"}\n",
+                    "{\"msg\":\"joined\",\"sidecar\":1,",
+                    "[".repeat(4000) + "\n",
+                    "x".repeat(4097),
+                    PING + "noise\n",
+                    PING + PING + "{\"msg\":\"collector\"}\n");
+
     @TempDir Path folder;
 
     private final StringBuilder transcript = new StringBuilder();
@@ -63,38 +97,7 @@
     @Test
     void handshakes() throws IOException {
         try (ServerHarness place = new ServerHarness(folder)) {
-            for (String says :
-                    List.of(
-                            "noise\n",
-                            "\n",
-                            "[1]\n",
-                            "7\n",
-                            "{}\n",
-                            "{\"msg\":7}\n",
-                            "{\"msg\":\"ping\"\n",
-                            "GET / HTTP/1.1\r\nHost: l\r\n\r\n",
-                            "{\"msg\":\"update\",\"eject\":[\"s-1\"]}\n",
-                            "{\"msg\":\"applied\",\"sidecar\":3,\"version\":1,\"lag_ms\":3}\n",
-                            USAGE.formatted("3", "\"read\"", "19", "0", "1000.0"),
-                            HEARD.formatted("\"a\"", "\"s-1\"", "2", "0", "4", "1000", ""),
-                            JOINED.formatted("60", "\"a\"", "21.5", "true"),
-                            JOINED.formatted("-1", "\"a\"", "21.5", "true"),
-                            JOINED.formatted("1.5", "\"a\"", "21.5", "true"),
-                            JOINED.formatted("\"1\"", "\"a\"", "21.5", "true"),
-                            JOINED.formatted("1", "\"nowhere\"", "21.5", "true"),
-                            JOINED.formatted("1", "null", "21.5", "true"),
-                            JOINED.formatted("1", "\"a\"", "\"much\"", "true"),
-                            JOINED.formatted("1", "\"a\"", "-1", "true"),
-                            JOINED.formatted("1", "\"a\"", "1e300", "true"),
-                            JOINED.formatted("1", "\"a\"", "21.5", "1"),
-                            "{\"msg\":\"joined\",\"sidecar\":1,\"az\":\"a\",\"share\":21.5}\n",
-                            "{\"msg\":\"collector\",\"az\":\"nowhere\"}\n",
-                            "{\"msg\":\"collector\"}\n",
-                            "{\"msg\":\"joined\",\"sidecar\":1,",
-                            "[".repeat(4000) + "\n",
-                            "x".repeat(4097),
-                            PING + "noise\n",
-                            PING + PING + "{\"msg\":\"collector\"}\n")) {
+            for (String says : HANDSHAKES) {
                 transcript.append("==\n");
                 sent(says);
                 receivesAll(place.connect().send(says));
--- a/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
+++ b/src/test/java/sprucelanding/runtime/server/VirtualGovernor.java
@@ -25,14 +25,14 @@
  * probes are answered then, too.
  */
 final class VirtualGovernor implements ControllerOutput {
-    /** How an endpoint answers a probe. */
-    interface Endpoints {
-        HealthCheckResult answers(String endpoint);
+    /** The result of a health check of an endpoint. */
+    interface HealthCheckResults {
+        HealthCheckResult of(String uid);
     }
 
-    private record Timer(int tag, double at) {}
+    private record Timer(int timerId, double dueMillis) {}
 
-    private record Acknowledgement(int proxy, int receipt) {}
+    private record Acknowledgement(int proxyId, int acknowledgementId) {}
 
     private static final double START_MS = 1_700_000_000_000.0;
     private static final String SETTINGS =
@@ -46,90 +46,94 @@
                     + "\"queueCap\":3000.0,\"updateCap\":0,\"reloadSpanUs\":10000000,\"transitMaxUs\":700000,"
                     + "\"homeOnly\":[false,false,true]},\"ceilings\":{\"probes\":true}}";
 
-    final SettingsReader opening = new SettingsReader(SETTINGS);
-    final RoutingController choice = opening.newController(0x5eedL);
-    final EndpointDirectory names =
-            new EndpointDirectory(opening.names("zones"), opening.names("kinds"));
-    final TableDistributor keeps =
+    final SettingsReader settings = new SettingsReader(SETTINGS);
+    final RoutingController controller = settings.newController(0x5eedL);
+    final EndpointDirectory directory =
+            new EndpointDirectory(settings.names("zones"), settings.names("kinds"));
+    final TableDistributor distributor =
             new TableDistributor(
-                    opening.names("classes").size(),
+                    settings.names("classes").size(),
                     Endpoint::mayBeEjectedElsewhere,
                     Endpoint::isAvailable);
-    final UpdateEncoder words =
-            new UpdateEncoder(opening.names("classes"), endpoint -> names.find(endpoint.id).uid());
+    final UpdateEncoder encoder =
+            new UpdateEncoder(
+                    settings.names("classes"), endpoint -> directory.find(endpoint.id).uid());
     final StringBuilder transcript = new StringBuilder();
 
     /** Objects that orders named, for tests that give orders of their own. */
-    final Map<String, Endpoint> replicas = new TreeMap<>();
+    final Map<String, Endpoint> endpointsByUid = new TreeMap<>();
 
-    final Map<Integer, Proxy> proxies = new TreeMap<>();
-    final Map<Integer, RequestClass> products = new TreeMap<>();
+    final Map<Integer, Proxy> proxiesById = new TreeMap<>();
+    final Map<Integer, RequestClass> requestClassesByIndex = new TreeMap<>();
 
-    private final Endpoints endpoints;
+    private final HealthCheckResults healthCheckResults;
     private final List<Timer> timers = new ArrayList<>();
     private final List<Acknowledgement> acknowledgements = new ArrayList<>();
-    private final List<String> probed = new ArrayList<>();
+    private final List<String> checkedUids = new ArrayList<>();
     private double elapsed;
 
-    VirtualGovernor(Endpoints endpoints) {
-        this.endpoints = endpoints;
-        choice.setTime(START_MS);
+    VirtualGovernor(HealthCheckResults healthCheckResults) {
+        this.healthCheckResults = healthCheckResults;
+        controller.setTime(START_MS);
     }
 
     /** Lets time pass, and what is due by then come in; nothing is decided yet. */
-    void passes(double ms) {
+    void advance(double ms) {
         elapsed += ms;
-        choice.setTime(START_MS + elapsed);
-        List<Timer> due = timers.stream().filter(t -> t.at <= START_MS + elapsed).toList();
+        controller.setTime(START_MS + elapsed);
+        List<Timer> due = timers.stream().filter(t -> t.dueMillis <= START_MS + elapsed).toList();
         timers.removeAll(due);
-        due.forEach(timer -> choice.timerFired(timer.tag));
-        List.copyOf(acknowledgements).forEach(a -> choice.acknowledged(a.proxy, a.receipt));
+        due.forEach(timer -> controller.timerFired(timer.timerId));
+        List.copyOf(acknowledgements)
+                .forEach(a -> controller.acknowledged(a.proxyId, a.acknowledgementId));
         acknowledgements.clear();
-        for (String endpoint : List.copyOf(probed)) {
-            HealthCheckResult answer = endpoints.answers(endpoint);
+        for (String endpoint : List.copyOf(checkedUids)) {
+            HealthCheckResult answer = healthCheckResults.of(endpoint);
             double load = answer == HealthCheckResult.OK ? 0.5 : Double.NaN;
-            choice.healthCheckCompleted(names.find(endpoint).id(), answer, load);
+            controller.healthCheckCompleted(directory.find(endpoint).id(), answer, load);
         }
-        probed.clear();
+        checkedUids.clear();
     }
 
-    void discovery(String list, ListOrigin origin) {
-        JsonObject told = Json.parse(list).asObject();
-        names.applyList(told, origin, START_MS + elapsed, choice);
+    void applyList(String list, ListOrigin origin) {
+        JsonObject update = Json.parse(list).asObject();
+        directory.applyList(update, origin, START_MS + elapsed, controller);
     }
 
-    void joins(int proxy, String zone, double share, boolean bare) {
-        keeps.proxyJoined(proxy, bare);
-        choice.proxyJoined(proxy, names.zoneIndex(zone), share, bare);
+    void joinProxy(int proxy, String zone, double expectedRate, boolean withoutTables) {
+        distributor.proxyJoined(proxy, withoutTables);
+        controller.proxyJoined(proxy, directory.zoneIndex(zone), expectedRate, withoutTables);
     }
 
-    void leaves(int proxy) {
-        keeps.proxyLeft(proxy);
-        choice.proxyLeft(proxy);
+    void removeProxy(int proxy) {
+        distributor.proxyLeft(proxy);
+        controller.proxyLeft(proxy);
     }
 
-    void reports(String endpoint, int attempts, int failed, double answerTime, double load) {
-        choice.endpointStatsReported(names.find(endpoint).id(), attempts, failed, answerTime, load);
+    void reportStats(
+            String endpoint, int attempts, int failed, double responseMillis, double load) {
+        controller.endpointStatsReported(
+                directory.find(endpoint).id(), attempts, failed, responseMillis, load);
     }
 
     /** Decides, and writes down the updates that come of it. */
-    void decides() {
-        while (choice.decide(this)) {
+    void decide() {
+        while (controller.decide(this)) {
             continue;
         }
-        writes();
+        writeUpdates();
     }
 
-    /** Ends the moment: writes down each proxy's update. */
-    void writes() {
-        words.beginBatch();
-        keeps.flush(this::write);
+    /** Ends the batch: writes down each proxy's update. */
+    void writeUpdates() {
+        encoder.beginBatch();
+        distributor.flush(this::write);
     }
 
     private void write(ProxyUpdate update) {
         transcript.append("at ").append((long) elapsed).append(" ms to proxy ");
         transcript.append(update.proxyId()).append('\n');
-        transcript.append(new String(words.encode(update), StandardCharsets.UTF_8));
+        transcript.append(new String(encoder.encode(update), StandardCharsets.UTF_8));
         if (update.acknowledgementId() != ProxyUpdate.NO_ACKNOWLEDGEMENT) {
             acknowledgements.add(new Acknowledgement(update.proxyId(), update.acknowledgementId()));
         }
@@ -137,43 +141,44 @@
 
     @Override
     public void setWeight(int table, Endpoint endpoint, double weight) {
-        replicas.put(names.find(endpoint.id).uid(), endpoint);
-        keeps.setWeight(table, endpoint, weight);
+        endpointsByUid.put(directory.find(endpoint.id).uid(), endpoint);
+        distributor.setWeight(table, endpoint, weight);
     }
 
     @Override
     public void clearTable(int table) {
-        keeps.clearTable(table);
+        distributor.clearTable(table);
     }
 
     @Override
     public void setEjected(Endpoint endpoint, boolean out) {
-        keeps.setEjected(endpoint, out);
+        distributor.setEjected(endpoint, out);
     }
 
     @Override
-    public void setAdmission(int table, RequestClass requestClass, double letIn, int retry) {
-        products.put(requestClass.index, requestClass);
-        keeps.setAdmission(table, requestClass, letIn, retry);
+    public void setAdmission(
+            int table, RequestClass requestClass, double admittedShare, int retryPolicy) {
+        requestClassesByIndex.put(requestClass.index, requestClass);
+        distributor.setAdmission(table, requestClass, admittedShare, retryPolicy);
     }
 
     @Override
-    public void bindProxy(int table, Proxy proxy, BitSet mask) {
-        proxies.put(proxy.id, proxy);
-        keeps.bindProxy(table, proxy, mask);
+    public void bindProxy(int table, Proxy proxy, BitSet requestClasses) {
+        proxiesById.put(proxy.id, proxy);
+        distributor.bindProxy(table, proxy, requestClasses);
     }
 
     @Override
-    public void requestAcknowledgement(int serial) {
-        keeps.requestAcknowledgement(serial);
+    public void requestAcknowledgement(int acknowledgementId) {
+        distributor.requestAcknowledgement(acknowledgementId);
     }
 
     @Override
-    public void checkHealth(Endpoint replica) {
-        String endpoint = names.find(replica.id).uid();
-        probed.add(endpoint);
+    public void checkHealth(Endpoint endpoint) {
+        String uid = directory.find(endpoint.id).uid();
+        checkedUids.add(uid);
         transcript.append("at ").append((long) elapsed).append(" ms probe ");
-        transcript.append(endpoint).append('\n');
+        transcript.append(uid).append('\n');
     }
 
     @Override
