--- a/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
+++ b/src/test/java/sprucelanding/runtime/server/ConnectionEndsTest.java
@@ -8,7 +8,9 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
+import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -41,7 +43,9 @@
             ServerHarness.Peer peer =
                     harness.connect()
                             .send("noise\n" + "x".repeat(60_000)); // far more than is read at once
-            for (int i = 0; i < 1500 && !harness.hasLogged("a connection is refused"); i++) {
+            for (int i = 0;
+                    i < 1500 && !harness.hasLogged("event=connection_rejected reason=");
+                    i++) {
                 Thread.sleep(10);
             }
             for (int i = 0;
@@ -61,7 +65,9 @@
     void rejectedConnectionThatNeverClosesReleasesItsDescriptor() throws Exception {
         try (ServerHarness harness = new ServerHarness(folder)) {
             harness.connect().send("noise\n");
-            for (int i = 0; i < 1500 && !harness.hasLogged("a connection is refused"); i++) {
+            for (int i = 0;
+                    i < 1500 && !harness.hasLogged("event=connection_rejected reason=");
+                    i++) {
                 Thread.sleep(10);
             }
             for (int i = 0;
@@ -210,11 +216,7 @@
 
     @Test
     void failedWriteEndsOnlyItsOwnStream() throws Exception {
-        EventLog eventLog =
-                new EventLog(
-                        new java.io.PrintStream(
-                                new java.io.ByteArrayOutputStream(), true, StandardCharsets.UTF_8),
-                        EventLoop::nowMillis);
+        EventLog eventLog = discardedLog();
         JsonObject settings =
                 Json.parse(
                                 "{\"classes\":[{\"name\":\"read\"}],\"zones\":[\"a\"],\"kinds\":[\"m1\"]}")
@@ -232,10 +234,11 @@
                                                         true,
                                                         ServerHarness.entry("s-1", "ready")))
                                         .asObject(),
-                                true);
+                                ListOrigin.LAST_RUN);
                         for (int proxy = 0; proxy < 3; proxy++) {
                             host.proxyJoined(
-                                    proxy, 0, 10, true, new TestStream(proxy, proxy == 1, events));
+                                    new JoinMessage(proxy, 0, 10, true),
+                                    new TestStream(proxy, proxy == 1, events));
                         }
                     });
             TreeSet<String> outcomes = new TreeSet<>();
@@ -247,7 +250,7 @@
     }
 
     private record TestStream(int proxyId, boolean broken, BlockingQueue<String> events)
-            implements ControllerHost.UpdateStream {
+            implements UpdateStream {
         @Override
         public void write(byte[] update, int acknowledgementId) {
             if (broken) {
@@ -267,67 +270,65 @@
         }
     }
 
+    /** Fails to apply the first list, and takes the revisions of those after it down. */
+    private static final class FailingOnceHandler implements DiscoveryWatch.ListHandler {
+        final BlockingQueue<Integer> revisions = new LinkedBlockingQueue<>();
+        private int lists;
+
+        @Override
+        public boolean onList(JsonObject list) {
+            if (lists++ == 0) {
+                throw new IllegalStateException("half of it was taken in");
+            }
+            revisions.add(list.getInt("rev", 0));
+            return true;
+        }
+
+        @Override
+        public long revision() {
+            return 6;
+        }
+    }
+
+    /** Answers each watch with one list, and takes its request line down. */
+    private static void answerWatches(ServerSocket server, BlockingQueue<String> requests) {
+        try {
+            while (true) {
+                ServerHarness.Peer peer = new ServerHarness.Peer(server.accept());
+                requests.add(peer.readLine());
+                peer.send(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                + ServerHarness.chunk(ServerHarness.list(7, true)));
+            }
+        } catch (IOException e) {
+            // the test has ended
+        }
+    }
+
+    private static EventLog discardedLog() {
+        return new EventLog(
+                new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8),
+                EventLoop::nowMillis);
+    }
+
     @Test
     void listThatFailsToApplyIsRequestedAgainInFull() throws Exception {
         BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-        BlockingQueue<Integer> revisions = new LinkedBlockingQueue<>();
+        FailingOnceHandler handler = new FailingOnceHandler();
         try (EventLoop loop = EventLoop.start("watch");
                 ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Thread discoveryThread =
-                    new Thread(
-                            () -> {
-                                try {
-                                    while (true) {
-                                        ServerHarness.Peer peer =
-                                                new ServerHarness.Peer(server.accept());
-                                        requests.add(peer.readLine());
-                                        peer.send(
-                                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                                                        + ServerHarness.chunk(
-                                                                ServerHarness.list(7, true)));
-                                    }
-                                } catch (IOException e) {
-                                    // the test has ended
-                                }
-                            });
+            Thread discoveryThread = new Thread(() -> answerWatches(server, requests));
             discoveryThread.setDaemon(true);
             discoveryThread.start();
-            EventLog eventLog =
-                    new EventLog(
-                            new java.io.PrintStream(
-                                    new java.io.ByteArrayOutputStream(),
-                                    true,
-                                    StandardCharsets.UTF_8),
-                            EventLoop::nowMillis);
-            DiscoveryWatch watch =
-                    new DiscoveryWatch(
-                            loop,
-                            new InetSocketAddress(
-                                    InetAddress.getLoopbackAddress(), server.getLocalPort()),
-                            new DiscoveryWatch.ListHandler() {
-                                private int lists;
-
-                                @Override
-                                public boolean onList(JsonObject list) {
-                                    if (lists++ == 0) {
-                                        throw new IllegalStateException("half of it was taken in");
-                                    }
-                                    revisions.add(list.getInt("rev", 0));
-                                    return true;
-                                }
-
-                                @Override
-                                public long revision() {
-                                    return 6;
-                                }
-                            },
-                            eventLog);
+            InetSocketAddress address =
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
+            DiscoveryWatch watch = new DiscoveryWatch(loop, address, handler, discardedLog());
             loop.tryExecute(watch::start);
             assertTrue(requests.poll(15, TimeUnit.SECONDS).contains("index=6"));
             String again = requests.poll(15, TimeUnit.SECONDS);
             assertNotNull(again, "the watch stayed on a list that has not come into force");
             assertFalse(again.contains("index"), again);
-            assertEquals(7, revisions.poll(15, TimeUnit.SECONDS));
+            assertEquals(7, handler.revisions.poll(15, TimeUnit.SECONDS));
         }
     }
 }
--- a/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
+++ b/src/test/java/sprucelanding/runtime/server/EndpointDirectoryTest.java
@@ -30,7 +30,8 @@
     private final EndpointDirectory directory = new EndpointDirectory(List.of("a"), List.of("m1"));
 
     private boolean applyList(double nowMillis, String list) {
-        return directory.applyList(Json.parse(list).asObject(), false, nowMillis, controller);
+        return directory.applyList(
+                Json.parse(list).asObject(), ListOrigin.DISCOVERY, nowMillis, controller);
     }
 
     @Test
@@ -59,8 +60,8 @@
                             ServerHarness.list(
                                     2, true, ServerHarness.entry("s-3", "ready"), malformed)),
                     malformed);
-            assertEquals(EndpointState.AVAILABLE, directory.find("s-1").state, malformed);
-            assertEquals(EndpointState.AVAILABLE, directory.find("s-2").state, malformed);
+            assertEquals(EndpointState.AVAILABLE, directory.find("s-1").state(), malformed);
+            assertEquals(EndpointState.AVAILABLE, directory.find("s-2").state(), malformed);
             assertNotNull(directory.find("s-3"));
             assertEquals(1, directory.revision(), "it goes on from the last that was whole");
         }
@@ -78,50 +79,33 @@
     @Test
     void clockErrorIsDetectedByTheNextStartAndCorrectsAllStartTimes() {
         for (long offsetMillis : new long[] {3_600_000, -3_600_000}) {
-            EndpointDirectory localDirectory = new EndpointDirectory(List.of("a"), List.of("m1"));
+            EndpointDirectory shifted = new EndpointDirectory(List.of("a"), List.of("m1"));
             long wallMillis = 1_796_000_000_000L;
             double nowMillis = wallMillis + offsetMillis;
-            localDirectory.applyList(
-                    Json.parse(
-                                    ServerHarness.list(
-                                            1,
-                                            true,
-                                            startedEntry("s-1", wallMillis - 10_000),
-                                            ServerHarness.entry("s-2", "ready")))
-                            .asObject(),
-                    true,
-                    nowMillis,
-                    controller);
-            localDirectory.applyList(
-                    Json.parse(
-                                    ServerHarness.list(
-                                            2, false, startedEntry("s-3", wallMillis - 5_000)))
-                            .asObject(),
-                    false,
-                    nowMillis,
-                    controller);
-            localDirectory.applyList(
-                    Json.parse(
-                                    ServerHarness.list(
-                                            3, false, startedEntry("s-4", wallMillis + 1_000)))
-                            .asObject(),
-                    false,
-                    nowMillis + 2_000,
-                    controller);
-            assertEquals(
-                    1_000,
-                    nowMillis + 2_000 - localDirectory.find("s-4").startedAtMillis,
-                    1_500,
-                    "step " + offsetMillis);
-            assertEquals(
-                    12_000,
-                    nowMillis + 2_000 - localDirectory.find("s-1").startedAtMillis,
-                    2_500,
-                    "step " + offsetMillis);
-            assertEquals(0, localDirectory.find("s-2").startedAtMillis, "long past");
+            String known =
+                    ServerHarness.list(
+                            1,
+                            true,
+                            startedEntry("s-1", wallMillis - 10_000),
+                            ServerHarness.entry("s-2", "ready"));
+            apply(shifted, known, ListOrigin.LAST_RUN, nowMillis);
+            String first = ServerHarness.list(2, false, startedEntry("s-3", wallMillis - 5_000));
+            apply(shifted, first, ListOrigin.DISCOVERY, nowMillis);
+            String next = ServerHarness.list(3, false, startedEntry("s-4", wallMillis + 1_000));
+            apply(shifted, next, ListOrigin.DISCOVERY, nowMillis + 2_000);
+            String step = "step " + offsetMillis;
+            double s4Age = nowMillis + 2_000 - shifted.find("s-4").startedAtMillis();
+            assertEquals(1_000, s4Age, 1_500, step);
+            double s1Age = nowMillis + 2_000 - shifted.find("s-1").startedAtMillis();
+            assertEquals(12_000, s1Age, 2_500, step);
+            assertEquals(0, shifted.find("s-2").startedAtMillis(), "long past");
         }
     }
 
+    private void apply(EndpointDirectory target, String list, ListOrigin origin, double nowMillis) {
+        target.applyList(Json.parse(list).asObject(), origin, nowMillis, controller);
+    }
+
     @Test
     void onlyEndpointsLongGoneAreRemoved() {
         applyList(
@@ -132,7 +116,7 @@
                         ServerHarness.entry("s-1", "ready"),
                         ServerHarness.entry("s-2", "ready"),
                         ServerHarness.entry("s-3", "ready")));
-        long id = directory.find("s-1").id;
+        long id = directory.find("s-1").id();
         applyList(1000, ServerHarness.list(2, false, ServerHarness.entry("s-1", "gone")));
         applyList(100_000, ServerHarness.list(3, true, ServerHarness.entry("s-2", "draining")));
         assertFalse(directory.removeGone(180_000, endpointId -> false));
@@ -160,7 +144,7 @@
                                 ServerHarness.entry("s-2", "ready"))));
         assertTrue(
                 applyList(1000, ServerHarness.list(2, false, ServerHarness.entry("s-1", "gone"))));
-        long heldId = directory.find("s-1").id;
+        long heldId = directory.find("s-1").id();
         assertFalse(
                 directory.removeGone(900_000, id -> id == heldId),
                 "its removal is still owed, and goes by its name");
--- a/src/test/java/sprucelanding/runtime/server/ServerHarness.java
+++ b/src/test/java/sprucelanding/runtime/server/ServerHarness.java
@@ -91,7 +91,7 @@
 
     final EventLoop loop;
     final ConnectionListener listener;
-    final GovernorServer.ConfigReloader reloader = new GovernorServer.ConfigReloader();
+    final ConfigReloader reloader = new ConfigReloader();
     final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private final Path config;
     private final int port;
@@ -115,7 +115,7 @@
         writeConfig(startDiscovery());
         PrintStream err = new PrintStream(logged, true, StandardCharsets.UTF_8);
         EventLog eventLog = new EventLog(err, EventLoop::nowMillis);
-        loop = new EventLoop("test", eventLog::logFailure);
+        loop = new EventLoop("test", eventLog::logLoopError);
         listener = GovernorServer.start(loop, eventLog, config, reloader);
         Thread thread = new Thread(loop);
         thread.setDaemon(true);
@@ -137,7 +137,8 @@
                                         continue;
                                     }
                                     peer.send(
-                                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                                            "HTTP/1.1 200 OK\r\n"
+                                                    + "Transfer-Encoding: chunked\r\n\r\n");
                                     watchRequests.add(
                                             new Object[] {
                                                 server.getLocalPort() + " " + first, peer
@@ -267,7 +268,7 @@
         String summary = "";
         for (int i = 0; i < TIMEOUT_MILLIS / 10; i++) {
             summary = onLoop(listener::resourceSummary);
-            if (summary.equals("0 open, 0 bytes, 0 strangers, 0 leaving, 0 streams")) {
+            if (summary.equals("0 open, 0 bytes, 0 unjoined, 0 rejected, 0 streams")) {
                 return;
             }
             Thread.sleep(10);
