--- a/src/main/java/sprucelanding/control/core/ControllerInput.java
+++ b/src/main/java/sprucelanding/control/core/ControllerInput.java
@@ -30,8 +30,8 @@
      *
      * @param zone index of its zone
      * @param machineKind index of its kind of machine
-     * @param weight its capacity relative to others
-     * @param startedAt when it started; 0 if that is not known
+     * @param weight as listed; it counts against the others'
+     * @param startedAt when it started; 0 if that is long past
      */
     void endpointListed(
             long endpointId,
@@ -50,7 +50,7 @@
     /**
      * A health check has ended.
      *
-     * @param load the load that the endpoint reported; NaN if none
+     * @param load share of busy cores that the endpoint reported; NaN if none
      */
     void healthCheckCompleted(long endpointId, HealthCheckResult result, double load);
 
@@ -59,8 +59,8 @@
      *
      * @param attempts requests that were sent to it
      * @param failed those of them that failed
-     * @param responseMillis response time, ms
-     * @param load share of its processors that is used; NaN if not reported
+     * @param responseMillis mean response time of the others, ms
+     * @param load share of busy cores that the endpoint reported; NaN if none
      */
     void endpointStatsReported(
             long endpointId, int attempts, int failed, double responseMillis, double load);
--- a/src/main/java/sprucelanding/control/core/GovernorCore.java
+++ b/src/main/java/sprucelanding/control/core/GovernorCore.java
@@ -171,7 +171,7 @@
     /**
      * A health check ended.
      *
-     * @param load the load that the endpoint reported; NaN if none
+     * @param load share of busy cores that the endpoint reported; NaN if none
      */
     public void healthCheckCompleted(long endpointId, HealthCheckResult result, double load) {
         input.setTime(host.now());
--- a/src/main/java/sprucelanding/control/core/GovernorHost.java
+++ b/src/main/java/sprucelanding/control/core/GovernorHost.java
@@ -59,5 +59,5 @@
     void log(String event, Object... fields);
 
     /** A decision threw: the tables in force stay, and the next event tries again. */
-    void decisionFailed(RuntimeException e);
+    void decisionFailed(RuntimeException failure);
 }
--- a/src/main/java/sprucelanding/control/core/LeaseCheckingHost.java
+++ b/src/main/java/sprucelanding/control/core/LeaseCheckingHost.java
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void decisionFailed(RuntimeException e) {
-        host.decisionFailed(e);
+    public void decisionFailed(RuntimeException failure) {
+        host.decisionFailed(failure);
     }
 }
--- a/src/main/java/sprucelanding/control/delivery/Delivery.java
+++ b/src/main/java/sprucelanding/control/delivery/Delivery.java
@@ -1,6 +1,5 @@
 package sprucelanding.control.delivery;
 
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -21,7 +20,6 @@
  */
 public final class Delivery {
     private static final int MAX_WEIGHT = 1 << 20;
-    private static final int MAX_LOGGED_REASON_LENGTH = 200;
 
     private final ResourceCatalog catalog = new ResourceCatalog();
     private final DesiredState desiredState = new DesiredState(catalog);
@@ -30,6 +28,8 @@
     private final DeferredActions deferredActions = new DeferredActions();
     private final AcknowledgementTracker acknowledgements =
             new AcknowledgementTracker(deferredActions);
+    private final AnswerHandler answerHandler =
+            new AnswerHandler(desiredState, queue, acknowledgements, deferredActions);
     private final Map<Integer, ProxyStream> streamsByProxy = new TreeMap<>();
     private final MessageRateLimit rateLimit;
     private final UnansweredWatch unansweredWatch;
@@ -159,37 +159,7 @@
 
     /** A response was accepted (ACK). Numbers that are not under way are ignored. */
     public void updateAccepted(ProxyStream stream, long updateId) {
-        Optional<ResourceUpdate> answered = acknowledgements.takeAnswered(stream, updateId);
-        if (answered.isEmpty()) {
-            return;
-        }
-        ResourceUpdate update = answered.get();
-        UpdateBuilder.growAfterAcceptance(stream);
-        recordHeld(stream, update);
-        if (update.isTransaction()
-                || update.type == ResourceType.ROUTE
-                || update.type == ResourceType.CLUSTER) {
-            removeUnusedClusters(stream);
-        }
-        acknowledgements.reportSettled(stream);
-        queue.addReady(stream);
-    }
-
-    private static void recordHeld(ProxyStream stream, ResourceUpdate update) {
-        HeldResources held = stream.held();
-        if (update.fullState) {
-            Set<ResourceName> names = new HashSet<>();
-            update.resources.forEach(resource -> names.add(resource.name()));
-            held.retainOfType(update.type, names);
-        }
-        update.resources.forEach(resource -> held.put(resource.name(), resource.version()));
-        held.clearRejections(update.resources);
-        for (ResourceName name : update.removedNames) {
-            held.remove(name);
-            if (name.type() == ResourceType.CLUSTER) {
-                stream.pending().removeEntriesOf(name.table());
-            }
-        }
+        answerHandler.accepted(stream, updateId);
     }
 
     /**
@@ -198,39 +168,7 @@
      * not sent again until its version changes.
      */
     public void updateRejected(ProxyStream stream, long updateId, String reason) {
-        Optional<ResourceUpdate> answered = acknowledgements.takeAnswered(stream, updateId);
-        if (answered.isEmpty()) {
-            return;
-        }
-        ResourceUpdate update = answered.get();
-        int nameCount = update.orderStampByName.size();
-        if (nameCount > 1 && !update.fullState) {
-            UpdateBuilder.halveAfterRejection(stream, nameCount);
-            stream.pending().restore(update.orderStampByName);
-            if (update.hasRemovals()) {
-                stream.markUrgent();
-            }
-        } else {
-            stream.held().reject(update);
-            deferredActions.add(host -> logRejection(host, update, reason));
-        }
-        acknowledgements.reportSettled(stream);
-        queue.add(stream);
-    }
-
-    private static void logRejection(DeliveryActions host, ResourceUpdate update, String reason) {
-        host.log(
-                "refused by a proxy",
-                "proxy",
-                update.stream.proxyId,
-                "kind",
-                update.type,
-                "names",
-                update.orderStampByName.keySet(),
-                "why",
-                reason.length() > MAX_LOGGED_REASON_LENGTH
-                        ? reason.substring(0, MAX_LOGGED_REASON_LENGTH)
-                        : reason);
+        answerHandler.rejected(stream, updateId, reason);
     }
 
     /**
@@ -238,15 +176,7 @@
      * ordered is removed.
      */
     public void fullStateRead(ProxyStream stream, Map<ResourceName, String> versions) {
-        if (stream.isClosed()) {
-            return;
-        }
-        stream.held().replaceAll(versions).forEach(name -> queue.enqueue(stream, name));
-        removeUnusedClusters(stream);
-    }
-
-    private void removeUnusedClusters(ProxyStream stream) {
-        desiredState.unusedClusters(stream).forEach(name -> queue.enqueue(stream, name));
+        answerHandler.fullStateRead(stream, versions);
     }
 
     // Orders of the controller.
@@ -268,7 +198,7 @@
         return weight > 0 ? (int) Math.max(1, Math.min(MAX_WEIGHT, Math.rint(weight))) : 0;
     }
 
-    /** Removes all entries of a table. */
+    /** Removes all entries and admissions of a table. */
     public void clearTable(int table) {
         List<ResourceName> entryNames = List.copyOf(catalog.table(table).entryNames());
         catalog.clearTable(table);
@@ -326,7 +256,7 @@
      * Sets the admission of a request class on a table.
      *
      * @param admittedLevel admitted share, or requests a second where the site admits by rate
-     * @param retryMode retry policy for requests that are shed
+     * @param retryMode which failed requests are retried, as the controller's output defines it
      */
     public void setAdmissionLevel(
             int table, int requestClass, double admittedLevel, int retryMode) {
--- a/src/main/java/sprucelanding/control/delivery/RoutingResource.java
+++ b/src/main/java/sprucelanding/control/delivery/RoutingResource.java
@@ -28,7 +28,7 @@
      * @param requestClass index of the request class
      * @param table the table that serves it
      * @param admittedLevel admitted share, or requests a second where the site admits by rate
-     * @param retryMode retry policy for requests that are shed
+     * @param retryMode which failed requests are retried, as the controller's output defines it
      */
     public record RouteRule(int requestClass, int table, double admittedLevel, int retryMode) {
         String version() {
--- a/src/main/java/sprucelanding/control/delivery/Subscriptions.java
+++ b/src/main/java/sprucelanding/control/delivery/Subscriptions.java
@@ -17,6 +17,7 @@
             case ENDPOINTS -> endpointTables.add(table);
             case LINE -> entryTables.add(table);
             case ROUTE -> route = true;
+            default -> throw new IllegalArgumentException("unknown type " + type);
         }
     }
 
@@ -27,6 +28,7 @@
             case ENDPOINTS -> endpointTables.remove(table);
             case LINE -> entryTables.remove(table);
             case ROUTE -> route = false;
+            default -> throw new IllegalArgumentException("unknown type " + type);
         }
     }
 
--- a/src/main/java/sprucelanding/control/edits/DeviceEditSession.java
+++ b/src/main/java/sprucelanding/control/edits/DeviceEditSession.java
@@ -1,37 +1,54 @@
 package sprucelanding.control.edits;
 
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import sprucelanding.control.delivery.ResourceName;
 import sprucelanding.control.delivery.ResourceUpdate;
 
 /**
- * One device's transactions. Tell it: session (with what the device can do), wants (an edit to
- * bring in force), then for each operation asked of the front its answer: done, denied, read, or
- * lost when no answer came in time or the session broke. Then decide until it says false. An edit
- * whose outcome is unknown is never repeated before the device was read.
+ * Brings edits in force at one device by NETCONF operations (RFC 6241). The front reports sessions
+ * ({@link #sessionOpened}), submits one edit at a time, and answers each operation that it is asked
+ * for: succeeded, failed, state read, or timed out; then it calls {@link #decide} until that
+ * returns false. An edit whose outcome is unknown is never repeated before the device was read.
+ * Called from one thread; times are ms on the host's clock.
+ *
+ * <p>{@link SessionState} has the states of a session and their transitions, {@link
+ * OperationSequence} the order of an edit's operations.
  */
 public final class DeviceEditSession {
-    /** What the front is asked to do at the device. */
+    /** What the front is asked to do at the device. The names are logged. */
     public enum Operation {
-        /** Read what it holds of ours in the running datastore. */
+        /** Reads what the device holds of ours in the running datastore. */
         READ,
-        /** Asks to be notified of what it meets and of what others change (RFC 5277). */
+        /** Subscribes to notifications of statistics and of changes by others (RFC 5277). */
         SUBSCRIBE,
+        /** Locks the datastore that is edited. */
         LOCK,
+        /** Edits the candidate datastore, or the running one if there is no candidate. */
         EDIT,
+        /** Validates the candidate. */
         VALIDATE,
-        /** Commit that the device takes back by itself unless it is confirmed in time. */
+        /** Commits; the device takes it back by itself unless it is confirmed in time. */
         TRY_COMMIT,
         /** Confirms that, from this session or a later one. */
         CONFIRM,
+        /** Commits for good. */
         COMMIT,
+        /** Discards the changes of the candidate. */
         DISCARD,
+        /** Releases the lock. */
         UNLOCK
     }
 
-    /** What a device can do (RFC 6241, section 8). */
+    /**
+     * What a device can do (RFC 6241, section 8).
+     *
+     * @param candidate whether it has a candidate datastore
+     * @param confirmedCommit whether it takes back a commit that is not confirmed
+     * @param validate whether it validates a candidate
+     * @param writableRunning whether the running datastore can be edited
+     * @param notifications whether it sends notifications (RFC 5277)
+     */
     public record DeviceCapabilities(
             boolean candidate,
             boolean confirmedCommit,
@@ -39,128 +56,118 @@
             boolean writableRunning,
             boolean notifications) {}
 
+    /** What is decided; the front carries it out. */
     public interface Actions {
-        /** For EDIT the message, else null; its answer is waited for so long, in ms. */
+        /**
+         * Starts an operation.
+         *
+         * @param edit the edit for EDIT, else null
+         * @param timeoutMillis ms within which it has to be answered
+         */
         void perform(Operation operation, ResourceUpdate edit, double timeoutMillis);
 
         /** The edit is in force at the device. */
         void editApplied(ResourceUpdate edit);
 
+        /** The device has rejected the edit. */
         void editRejected(ResourceUpdate edit, String reason);
 
-        /**
-         * What the device holds; told after each session's first read, and when others have changed
-         * it.
-         */
+        /** What the device holds: after a session's first read, and when others have changed it. */
         void deviceStateRead(Map<ResourceName, String> versions);
 
         /** The session is of no more use. */
         void closeSession(String reason);
 
+        /** Writes one line to the log; fields are keys and values in turn. */
         void log(String event, Object... fields);
     }
 
-    private static final double INITIAL_LOCK_BACKOFF_MILLIS = 100;
-    private static final double MAX_LOCK_BACKOFF_MILLIS = 1600;
-
     private final double answerTimeoutMillis;
-    private final double confirmTimeoutMillis;
-    private final double lockTimeoutMillis;
-    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
-    private Actions actions;
+    private final LockRetry lockRetry;
+    private final ConfirmedCommit confirmedCommit;
+    private final DeferredActions deferredActions = new DeferredActions();
     private double now;
-    private DeviceCapabilities capabilities;
-    private boolean sessionOpen;
-    private boolean stateKnown;
-    private boolean locked;
+    private OperationSequence sequence;
+    private SessionState state = SessionState.CLOSED;
 
     /** The operation that is under way; null: none. */
     private Operation pendingOperation;
 
+    /** The operation that has to follow; null: chosen by the state. */
+    private Operation nextOperation;
+
+    /** The edit that was submitted and is neither applied nor rejected; null: none. */
     private ResourceUpdate currentEdit;
 
     /** The edit may be in force or not: the device has to be read. */
     private boolean outcomeUnknown;
 
-    /**
-     * Until when a commit that was not confirmed may still be taken back by the device; 0: there is
-     * none.
-     */
-    private double rollbackDeadline;
-
-    private double lockBackoffMillis = INITIAL_LOCK_BACKOFF_MILLIS;
-    private double nextLockAttemptAt;
-    private double lockedOutSince = -1;
-    private Operation nextOperation;
+    /** Others may have changed the device. */
     private boolean readRequested;
 
     /**
-     * @param answers ms that an answer is waited for
-     * @param confirms ms after which the device takes back what was not confirmed
-     * @param lockPatience ms that a lock of others is waited for
+     * Creates a session that is closed.
+     *
+     * @param answerTimeoutMillis ms within which the device has to answer an operation
+     * @param confirmTimeoutMillis ms after which the device takes back what was not confirmed
+     * @param lockTimeoutMillis ms that a lock of others is waited for
      */
     public DeviceEditSession(
             double answerTimeoutMillis, double confirmTimeoutMillis, double lockTimeoutMillis) {
         this.answerTimeoutMillis = answerTimeoutMillis;
-        this.confirmTimeoutMillis = confirmTimeoutMillis;
-        this.lockTimeoutMillis = lockTimeoutMillis;
+        confirmedCommit = new ConfirmedCommit(confirmTimeoutMillis);
+        lockRetry = new LockRetry(lockTimeoutMillis);
     }
 
+    /** Sets the time of all that is called next. */
     public void setTime(double now) {
         this.now = now;
     }
 
-    /**
-     * ms on the host's clock at which to call decide again; infinite if nothing waits for a time.
-     */
+    /** When to call decide again without an event; infinite if nothing waits for a time. */
     public double nextDecisionAt() {
-        if (!sessionOpen || pendingOperation != null) {
+        if (state == SessionState.CLOSED || pendingOperation != null) {
             return Double.POSITIVE_INFINITY;
         }
-        boolean awaitingRollback = outcomeUnknown && rollbackDeadline > now;
-        return awaitingRollback
-                ? rollbackDeadline
-                : currentEdit != null && lockedOutSince >= 0
-                        ? nextLockAttemptAt
-                        : Double.POSITIVE_INFINITY;
+        if (outcomeUnknown && confirmedCommit.isRevocable(now)) {
+            return confirmedCommit.rollbackDeadline();
+        }
+        return currentEdit == null
+                ? Double.POSITIVE_INFINITY
+                : lockRetry.nextAttemptAt().orElse(Double.POSITIVE_INFINITY);
     }
 
-    // What happened.
+    // Events.
 
+    /** A session with the device was opened. */
     public void sessionOpened(DeviceCapabilities capabilities) {
-        this.capabilities = capabilities;
-        sessionOpen = true;
-        stateKnown = false;
-        locked = false;
+        sequence = new OperationSequence(capabilities);
+        state = SessionState.UNREAD;
         pendingOperation = null;
         nextOperation = null;
         readRequested = true;
-        lockedOutSince = -1;
+        lockRetry.sessionOpened();
     }
 
-    /** The session broke. What was under way may have happened or not. */
+    /** The session broke. The operation under way may have happened or not. */
     public void sessionLost() {
-        if (sessionOpen) {
-            sessionOpen = false;
+        if (state != SessionState.CLOSED) {
+            state = SessionState.CLOSED; // locks end with their session
             outcomeUnknown |=
                     currentEdit != null
-                            && (pendingOperation == Operation.EDIT && !capabilities.candidate
-                                    || pendingOperation == Operation.TRY_COMMIT
-                                    || pendingOperation == Operation.COMMIT
-                                    || pendingOperation == Operation.CONFIRM
-                                    || nextOperation == Operation.CONFIRM);
+                            && sequence.mayHaveTakenEffect(pendingOperation, nextOperation);
             pendingOperation = null;
             nextOperation = null;
-            locked = false; // locks end with their session
         }
     }
 
-    /** An edit to bring in force, one at a time. */
+    /** Submits an edit to bring in force, one at a time. */
     public void submit(ResourceUpdate edit) {
         currentEdit = edit;
         outcomeUnknown = false;
     }
 
+    /** The edit that is neither applied nor rejected; null if there is none. */
     public ResourceUpdate currentEdit() {
         return currentEdit;
     }
@@ -170,130 +177,131 @@
         readRequested = true;
     }
 
+    /**
+     * The device has done an operation. A late answer is ignored: the operation was given up, and
+     * the device is read before anything is repeated.
+     */
     public void operationSucceeded(Operation operation) {
         if (operation != pendingOperation) {
-            return; // late: it was given up, and the device is read before anything is repeated
+            return;
         }
         pendingOperation = null;
         switch (operation) {
             case LOCK -> {
-                locked = true;
-                lockedOutSince = -1;
-                lockBackoffMillis = INITIAL_LOCK_BACKOFF_MILLIS;
+                state = SessionState.LOCKED;
+                lockRetry.acquired();
                 nextOperation = Operation.EDIT;
             }
-            case EDIT -> {
-                if (!capabilities.candidate) {
-                    editCompleted();
-                } else {
-                    nextOperation =
-                            isUrgent()
-                                    ? Operation.COMMIT
-                                    : capabilities.validate
-                                            ? Operation.VALIDATE
-                                            : commitOperation();
-                }
-            }
-            case VALIDATE -> nextOperation = commitOperation();
+            case EDIT -> editMade();
+            case VALIDATE -> nextOperation = sequence.commit();
             case TRY_COMMIT -> {
-                rollbackDeadline = now + confirmTimeoutMillis;
+                confirmedCommit.committed(now);
                 nextOperation = Operation.CONFIRM;
             }
             case CONFIRM, COMMIT -> editCompleted();
-            case DISCARD -> nextOperation = locked ? Operation.UNLOCK : null;
-            case UNLOCK -> {
-                locked = false;
-                nextOperation = null;
-            }
-            case READ, SUBSCRIBE -> {}
+            case DISCARD -> nextOperation = sequence.last(state);
+            case UNLOCK -> unlocked();
+            default -> {} // READ is answered by stateRead; nothing follows SUBSCRIBE
+        }
+    }
+
+    private void editMade() {
+        if (sequence.editsRunning()) {
+            editCompleted();
+        } else {
+            nextOperation = sequence.afterEdit(currentEdit != null && currentEdit.hasRemovals());
         }
     }
 
-    /** The device answered with an error; held: by a lock of somebody else. */
+    private void unlocked() {
+        state = SessionState.UNLOCKED;
+        nextOperation = null;
+    }
+
+    /**
+     * The device answered an operation with an error.
+     *
+     * @param lockedByOthers whether somebody else holds the lock
+     */
     public void operationFailed(Operation operation, boolean lockedByOthers, String reason) {
         if (operation != pendingOperation) {
             return;
         }
         pendingOperation = null;
-        if (operation == Operation.LOCK && lockedByOthers) {
-            lockedOutSince = lockedOutSince < 0 ? now : lockedOutSince;
-            if (now - lockedOutSince > lockTimeoutMillis) {
-                closeSession(
-                        "a lock held by others for " + Math.round(now - lockedOutSince) + " ms");
-                return;
+        switch (operation) {
+            case CONFIRM -> { // taken back already, or confirmed before: only the device knows
+                outcomeUnknown = true;
+                confirmedCommit.clear();
             }
-            if (lockBackoffMillis == INITIAL_LOCK_BACKOFF_MILLIS) {
-                pendingActions.add(
-                        () -> actions.log("a device is locked by others", "why", reason));
+            case READ -> closeSession("it cannot be read: " + reason);
+            case SUBSCRIBE -> deferredActions.log("a device does not notify", "why", reason);
+            case UNLOCK, DISCARD -> unlocked();
+            case LOCK -> {
+                if (lockedByOthers) {
+                    lockDenied(reason);
+                } else {
+                    rejectEdit(null, reason);
+                }
             }
-            nextLockAttemptAt = now + lockBackoffMillis;
-            lockBackoffMillis = Math.min(MAX_LOCK_BACKOFF_MILLIS, 2 * lockBackoffMillis);
-            return;
-        }
-        if (operation
-                == Operation.CONFIRM) { // it was taken back already, or confirmed before: only the
-            // device knows
-            outcomeUnknown = true;
-            rollbackDeadline = 0;
-            return;
+            default -> rejectEdit(sequence.afterRejection(state), reason);
         }
-        if (operation == Operation.READ) {
-            closeSession("it cannot be read: " + reason);
-            return;
-        }
-        if (operation == Operation.SUBSCRIBE) {
-            pendingActions.add(() -> actions.log("a device does not notify", "why", reason));
+    }
+
+    private void lockDenied(String reason) {
+        double deniedMillis = lockRetry.denied(now);
+        if (lockRetry.isTimedOut(deniedMillis)) {
+            closeSession("a lock held by others for " + Math.round(deniedMillis) + " ms");
             return;
         }
-        if (operation == Operation.UNLOCK || operation == Operation.DISCARD) {
-            locked = false;
-            nextOperation = null;
-            return;
+        if (lockRetry.isFirstAttempt()) {
+            deferredActions.log("a device is locked by others", "why", reason);
         }
+        lockRetry.scheduleNextAttempt(now);
+    }
+
+    private void rejectEdit(Operation followUp, String reason) {
         ResourceUpdate rejectedEdit = currentEdit;
         currentEdit = null;
-        nextOperation =
-                operation == Operation.LOCK
-                        ? null
-                        : capabilities.candidate
-                                ? Operation.DISCARD
-                                : locked ? Operation.UNLOCK : null;
+        nextOperation = followUp;
         if (rejectedEdit != null) {
-            pendingActions.add(() -> actions.editRejected(rejectedEdit, reason));
+            deferredActions.editRejected(rejectedEdit, reason);
         }
     }
 
-    /** What the device holds. */
+    /** What the device holds, by an operation READ that is under way. */
     public void stateRead(Map<ResourceName, String> versions) {
         if (pendingOperation != Operation.READ) {
             return;
         }
         pendingOperation = null;
         boolean resolvesOutcome = outcomeUnknown && currentEdit != null;
-        readRequested &=
-                resolvesOutcome; // what others changed is told by a read that settles nothing else
-        boolean firstRead = !stateKnown;
-        stateKnown = true;
-        boolean shouldSubscribe = firstRead && capabilities.notifications;
+        readRequested &= resolvesOutcome; // changes by others are told by a read for them alone
+        boolean firstRead = state == SessionState.UNREAD;
+        if (firstRead) {
+            state = SessionState.UNLOCKED;
+        }
         if (resolvesOutcome) {
-            outcomeUnknown = false;
-            if (isInForce(versions, currentEdit)) {
-                if (rollbackDeadline > now) {
-                    nextOperation =
-                            Operation.CONFIRM; // still on trial, from the session that broke
-                } else {
-                    editCompleted();
-                }
-            }
-        } else if (rollbackDeadline <= now) {
-            rollbackDeadline = 0;
+            resolveOutcome(versions);
+        } else {
+            confirmedCommit.clearIfExpired(now);
         }
-        if (shouldSubscribe && nextOperation == null) {
+        if (firstRead && sequence.capabilities().notifications() && nextOperation == null) {
             nextOperation = Operation.SUBSCRIBE;
         }
         if (firstRead || !resolvesOutcome) { // also if an edit came meanwhile: it has not begun
-            Map<ResourceName, String> copy = new HashMap<>(versions);
-            pendingActions.add(() -> actions.deviceStateRead(copy));
+            deferredActions.deviceStateRead(new HashMap<>(versions));
+        }
+    }
+
+    private void resolveOutcome(Map<ResourceName, String> versions) {
+        outcomeUnknown = false;
+        if (!EditVerification.isInForce(versions, currentEdit)) {
+            return; // the edit starts again
+        }
+        if (confirmedCommit.isRevocable(now)) {
+            nextOperation = Operation.CONFIRM;
+        } else {
+            editCompleted();
         }
     }
 
@@ -303,125 +311,90 @@
             return;
         }
         pendingOperation = null;
-        pendingActions.add(
-                () ->
-                        actions.log(
-                                "no answer from a device",
-                                "op",
-                                operation,
-                                "ms",
-                                Math.round(answerTimeoutMillis)));
+        deferredActions.log(
+                "no answer from a device", "op", operation, "ms", Math.round(answerTimeoutMillis));
         switch (operation) {
-            case TRY_COMMIT, COMMIT, CONFIRM -> {
+            case TRY_COMMIT -> {
                 outcomeUnknown = true;
-                rollbackDeadline =
-                        operation == Operation.COMMIT
-                                ? 0
-                                : Math.max(
-                                        rollbackDeadline,
-                                        operation == Operation.TRY_COMMIT
-                                                ? now + confirmTimeoutMillis
-                                                : 0);
+                confirmedCommit.maybeCommitted(now);
             }
+            case COMMIT -> {
+                outcomeUnknown = true;
+                confirmedCommit.clear();
+            }
+            case CONFIRM -> outcomeUnknown = true;
             case EDIT -> {
-                outcomeUnknown = !capabilities.candidate; // of a candidate nothing is in force yet
-                nextOperation = capabilities.candidate ? Operation.DISCARD : null;
+                outcomeUnknown = sequence.editsRunning(); // a candidate is not in force yet
+                nextOperation = sequence.editsRunning() ? null : Operation.DISCARD;
             }
             case VALIDATE -> nextOperation = Operation.DISCARD;
             default -> closeSession("no answer to " + operation);
         }
     }
 
-    // What is decided.
+    // Decisions.
 
-    /** One decision; false if there is none now. */
+    /** Takes one decision; false if there is none now. */
     public boolean decide(Actions actions) {
-        this.actions = actions;
-        Runnable action = pendingActions.poll();
-        if (action != null) {
-            action.run();
+        if (deferredActions.runNext(actions)) {
             return true;
         }
-        if (!sessionOpen || pendingOperation != null) {
+        if (state == SessionState.CLOSED || pendingOperation != null) {
             return false;
         }
         Operation operation = chooseOperation();
         if (operation == null) {
             return false;
         }
-        if (operation == Operation.CONFIRM
-                && now >= rollbackDeadline) { // a pause of ours: it may have been taken back by now
-            outcomeUnknown = true;
-            nextOperation = null;
-            rollbackDeadline = 0;
+        nextOperation = null;
+        if (operation == Operation.CONFIRM && !confirmedCommit.isRevocable(now)) {
+            outcomeUnknown = true; // after a pause of ours the device may have taken it back
+            confirmedCommit.clear();
             return true;
         }
-        nextOperation = null;
         pendingOperation = operation;
         actions.perform(
                 operation, operation == Operation.EDIT ? currentEdit : null, answerTimeoutMillis);
         return true;
     }
 
+    /** The operation to start now; null: none. */
     private Operation chooseOperation() {
         if (nextOperation != null) {
             return nextOperation;
         }
-        if (!stateKnown) {
+        if (state == SessionState.UNREAD) {
             return Operation.READ;
         }
         if (outcomeUnknown) {
-            // What it holds while a commit is on trial may still be taken back, unless this session
-            // can confirm it.
-            return rollbackDeadline > now && capabilities.confirmedCommit && !readRequested
-                    ? null
-                    : Operation.READ;
+            // What it holds may still be taken back, unless this session can confirm it.
+            boolean waitForRollback =
+                    confirmedCommit.isRevocable(now)
+                            && sequence.capabilities().confirmedCommit()
+                            && !readRequested;
+            return waitForRollback ? null : Operation.READ;
         }
         if (currentEdit == null) {
-            return locked ? Operation.UNLOCK : readRequested ? Operation.READ : null;
-        }
-        if (lockedOutSince >= 0 && now < nextLockAttemptAt) {
-            return null;
+            return state == SessionState.UNLOCKED && readRequested
+                    ? Operation.READ
+                    : sequence.last(state);
         }
-        return locked || !capabilities.candidate ? Operation.EDIT : Operation.LOCK;
-    }
-
-    /** Removals go without a trial: one round trip less on the way to the grace. */
-    private boolean isUrgent() {
-        return currentEdit != null && currentEdit.hasRemovals();
-    }
-
-    private Operation commitOperation() {
-        return capabilities.confirmedCommit ? Operation.TRY_COMMIT : Operation.COMMIT;
+        return lockRetry.isWaiting(now) ? null : sequence.first(state);
     }
 
     private void editCompleted() {
         ResourceUpdate edit = currentEdit;
         currentEdit = null;
         outcomeUnknown = false;
-        rollbackDeadline = 0;
-        nextOperation = locked ? Operation.UNLOCK : null;
+        confirmedCommit.clear();
+        nextOperation = sequence.last(state);
         if (edit != null) {
-            pendingActions.add(() -> actions.editApplied(edit));
+            deferredActions.editApplied(edit);
         }
     }
 
     private void closeSession(String reason) {
-        sessionOpen = false;
-        locked = false;
-        pendingActions.add(() -> actions.closeSession(reason));
-    }
-
-    /** Whether all that an edit asks for is held, whoever brought it in force. */
-    static boolean isInForce(Map<ResourceName, String> versions, ResourceUpdate edit) {
-        return edit.resources.stream()
-                        .allMatch(
-                                resource ->
-                                        resource.name().type()
-                                                        == sprucelanding.control.delivery
-                                                                .ResourceType.ENDPOINTS
-                                                || resource.version()
-                                                        .equals(versions.get(resource.name())))
-                && edit.removedNames.stream().noneMatch(versions::containsKey);
+        state = SessionState.CLOSED;
+        deferredActions.closeSession(reason);
     }
 }
--- a/src/main/java/sprucelanding/control/edits/EditScheduler.java
+++ b/src/main/java/sprucelanding/control/edits/EditScheduler.java
@@ -8,21 +8,29 @@
 import java.util.TreeSet;
 
 /**
- * Which device is served next while many want an edit. So many are served at a time; removals go
- * beside them, up to as many again, for the grace does not wait behind forty devices that are laid
- * anew. Of the others, those come first that have no route yet, then those that asked first; one
- * that has waited long goes before any but removals, so that a stream of new devices never starves
- * the rest. Tell it wants, and done when an edit ended, however; then decide until it says false.
+ * Decides which device is served next while many want an edit. A limited number is served at a
+ * time. Removals are served beside them, up to the same number again, for the removal grace does
+ * not wait behind devices that are initialized. Of the others those come first that have no route
+ * yet, then those that asked first; one that has waited for long goes ahead of all but removals, so
+ * that a stream of new devices does not starve the rest.
+ *
+ * <p>Called from one thread: {@link #setTime}, then {@link #request} and {@link #release}, then
+ * {@link #decide} until it returns false. Times are ms on the host's clock.
  */
 public final class EditScheduler {
     /** Why a device wants an edit. */
     public enum Priority {
+        /** The edit takes traffic away from an endpoint. */
         REMOVAL,
+        /** The device has no route yet. */
         FIRST,
+        /** All other changes. */
         ORDINARY
     }
 
+    /** What is decided; the front carries it out. */
     public interface Actions {
+        /** Starts the device's edit; it ends with {@link #release}. */
         void startEdit(int device);
     }
 
@@ -43,8 +51,10 @@
     private double now;
 
     /**
-     * @param atOnce devices served at a time, removals aside
-     * @param patience ms of waiting after which a device goes before others of any rank but
+     * Creates a scheduler without devices.
+     *
+     * @param maxConcurrent devices served at a time, removals aside
+     * @param starvationLimitMillis ms of waiting after which a device goes ahead of all but
      *     removals
      */
     public EditScheduler(int maxConcurrent, double starvationLimitMillis) {
@@ -52,14 +62,12 @@
         this.starvationLimitMillis = starvationLimitMillis;
     }
 
+    /** Sets the time of all that is called next. */
     public void setTime(double now) {
         this.now = now;
     }
 
-    /**
-     * A device wants to be served. One that waits already keeps its place, and the more urgent of
-     * its reasons.
-     */
+    /** A device wants an edit. One that waits already keeps its place and the higher priority. */
     public void request(int device, Priority priority) {
         PendingEdit previous = pendingByDevice.get(device);
         if (previous != null && previous.priority.compareTo(priority) <= 0) {
@@ -79,7 +87,7 @@
         byAge.add(edit);
     }
 
-    /** Its edit ended, or its session did: its place is free, and it wants nothing any more. */
+    /** A device's edit or session ended: its slot is free, and it wants nothing any more. */
     public void release(int device) {
         PendingEdit previous = pendingByDevice.remove(device);
         if (previous != null) {
@@ -94,11 +102,12 @@
         byAge.remove(edit);
     }
 
+    /** Devices that wait to be served. */
     public int waitingCount() {
         return pendingByDevice.size();
     }
 
-    /** One decision; false if there is none now. */
+    /** Takes one decision; false if there is none now. */
     public boolean decide(Actions actions) {
         PendingEdit next = nextEdit();
         if (next == null) {
--- a/src/main/java/sprucelanding/control/edits/package-info.java
+++ b/src/main/java/sprucelanding/control/edits/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Decides how one device that takes edits is brought to what it should hold: when to gather, lock,
- * edit, commit and confirm; what a time-out of unknown outcome means, and how long a lock held by
- * others is waited for. No I/O and no clock of its own: the front tells what came and does what is
- * asked, one operation at a time.
+ * Decides how a device that takes NETCONF edits is brought to what it should hold: which device is
+ * served next, when to lock, edit, commit and confirm, what a timeout of unknown outcome means, and
+ * how long a lock held by others is waited for. No I/O and no clock of its own: the front reports
+ * what happened and does what is asked, one operation at a time and all on one thread.
  */
 package sprucelanding.control.edits;
