--- a/src/main/java/sprucelanding/control/membership/EvidenceExchange.java
+++ b/src/main/java/sprucelanding/control/membership/EvidenceExchange.java
@@ -23,16 +23,6 @@
     public record EndpointObservation(
             long endpoint, int attempts, int failedAttempts, double responseMillis, double load) {}
 
-    /**
-     * One part of a governor's sums for a span of so many ms; parts of one span have one number.
-     */
-    public record Evidence(
-            int sender,
-            long generation,
-            long sequence,
-            double spanMillis,
-            List<EndpointObservation> observations) {}
-
     public interface Actions {
         void sendEvidence(Evidence evidence);
 
--- a/src/main/java/sprucelanding/control/membership/FailureDetector.java
+++ b/src/main/java/sprucelanding/control/membership/FailureDetector.java
@@ -21,15 +21,6 @@
         LEFT
     }
 
-    /**
-     * What a governor knows of another: its life (when it started, ms since 1970), incarnation,
-     * highest beat, and state.
-     */
-    public record MemberState(
-            int id, long generation, int incarnation, long heartbeatNumber, State state) {}
-
-    public record Heartbeat(int sender, List<MemberState> view) {}
-
     public interface Actions {
         /** To all others; it may be lost. */
         void sendHeartbeat(Heartbeat heartbeat);
--- a/src/main/java/sprucelanding/control/membership/FleetMember.java
+++ b/src/main/java/sprucelanding/control/membership/FleetMember.java
@@ -84,19 +84,10 @@
         }
     }
 
-    /** What another governor said, as Packets took it. */
+    /** A message of another governor arrived, as {@link PeerCodec} decoded it. */
     public void onPeerMessage(Object message) {
-        if (message instanceof FailureDetector.Heartbeat heartbeat) {
-            failureDetector.onHeartbeat(heartbeat);
-        } else if (message instanceof Leases.LeaseRequest request) {
-            leases.onRequest(request);
-        } else if (message instanceof Leases.Grant grant) {
-            leases.onGrant(grant);
-        } else if (message instanceof Leases.Release release) {
-            leases.onRelease(release);
-        } else if (message instanceof EvidenceExchange.Evidence evidence
-                && evidenceExchange != null) {
-            evidenceExchange.onEvidence(evidence);
+        if (message instanceof PeerMessage peerMessage) {
+            peerMessage.accept(peerMessageHandler);
         }
     }
 
@@ -266,6 +257,38 @@
         return true;
     }
 
+    private final PeerMessageHandler peerMessageHandler = new PeerMessageHandler();
+
+    /** Hands each kind of message to the part that it is for. */
+    private final class PeerMessageHandler implements PeerMessage.Visitor {
+        @Override
+        public void visitHeartbeat(Heartbeat heartbeat) {
+            failureDetector.onHeartbeat(heartbeat);
+        }
+
+        @Override
+        public void visitLeaseRequest(LeaseRequest request) {
+            leases.onRequest(request);
+        }
+
+        @Override
+        public void visitGrant(Grant grant) {
+            leases.onGrant(grant);
+        }
+
+        @Override
+        public void visitRelease(Release release) {
+            leases.onRelease(release);
+        }
+
+        @Override
+        public void visitEvidence(Evidence evidence) {
+            if (evidenceExchange != null) {
+                evidenceExchange.onEvidence(evidence);
+            }
+        }
+    }
+
     private final ComponentActions componentActions = new ComponentActions();
 
     /** What its parts decide. */
@@ -275,7 +298,7 @@
                     ProxyQuota.Actions,
                     EvidenceExchange.Actions {
         @Override
-        public void sendHeartbeat(FailureDetector.Heartbeat heartbeat) {
+        public void sendHeartbeat(Heartbeat heartbeat) {
             actions.sendToPeers(-1, heartbeat);
         }
 
@@ -295,17 +318,17 @@
         }
 
         @Override
-        public void sendRequest(Leases.LeaseRequest request) {
+        public void sendRequest(LeaseRequest request) {
             actions.sendToPeers(-1, request);
         }
 
         @Override
-        public void sendGrant(Leases.Grant grant) {
+        public void sendGrant(Grant grant) {
             actions.sendToPeers(grant.recipient(), grant);
         }
 
         @Override
-        public void sendRelease(Leases.Release release) {
+        public void sendRelease(Release release) {
             actions.sendToPeers(-1, release);
         }
 
@@ -338,7 +361,7 @@
         }
 
         @Override
-        public void sendEvidence(EvidenceExchange.Evidence evidence) {
+        public void sendEvidence(Evidence evidence) {
             actions.sendToPeers(-1, evidence);
         }
 
--- a/src/main/java/sprucelanding/control/membership/Leases.java
+++ b/src/main/java/sprucelanding/control/membership/Leases.java
@@ -19,45 +19,6 @@
  * then decide until it says false; ask until right before each write.
  */
 public final class Leases {
-    /** A proxy, and the epoch under which it is asked for or held. */
-    public record Claim(long proxy, long epoch) {}
-
-    /** How much a governor has: its streams, how many it was made for, and its zone by position. */
-    public record GovernorLoad(int streams, int capacity, int zone) {}
-
-    /**
-     * Renews the asker's session and asks for promises.
-     *
-     * @param number rises with each ask of a life, so that late ones are told
-     * @param sent when, on the asker's own clock; it comes back with the answer
-     */
-    public record LeaseRequest(
-            int sender,
-            long generation,
-            long sequence,
-            double sentAt,
-            GovernorLoad load,
-            List<Claim> claims) {}
-
-    /**
-     * The answer of a voter.
-     *
-     * @param session of the asker at this voter: a higher one than before means that what was
-     *     promised before is forgotten
-     */
-    public record Grant(
-            int voter,
-            long voterGeneration,
-            long session,
-            int recipient,
-            long recipientGeneration,
-            double requestSentAt,
-            List<Claim> granted,
-            List<Claim> rejected) {}
-
-    /** Proxies given up, to which the last write has left. */
-    public record Release(int sender, long generation, List<Claim> claims) {}
-
     /**
      * What the host is told to do. Owned, then lapsed or kept in any order, ends with left or
      * yields.
--- a/src/main/java/sprucelanding/control/membership/PeerCodec.java
+++ b/src/main/java/sprucelanding/control/membership/PeerCodec.java
@@ -11,12 +11,13 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * What governors tell each other, as datagrams of at most 1,400 bytes: version, kind, content, and
- * a sum by a key that all share (HMAC-SHA-256, RFC 2104, cut to 16 bytes). Big-endian. What is
- * forged, cut off, too long or of another version is refused whole.
+ * Messages between governors as datagrams of at most 1,400 bytes: version, kind, content, and a
+ * message authentication code by a key that all governors share (HMAC-SHA-256, RFC 2104, truncated
+ * to 16 bytes). Numbers are big-endian. A packet that is forged, cut off, too long or of another
+ * version is rejected as a whole. To be used on one thread.
  */
 public final class PeerCodec {
-    /** What cannot be taken, and why. */
+    /** A packet that holds no message; the message of the exception says why. */
     public static final class MalformedPacketException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -25,21 +26,22 @@
         }
     }
 
+    /** The largest datagram, its authentication code included. */
     public static final int MAX_PACKET_BYTES = 1400;
+
     private static final byte VERSION = 2;
+    private static final int HEADER_BYTES = 2; // version and kind
     private static final int MAC_BYTES = 16;
     private static final String MAC_ALGORITHM = "HmacSHA256";
-    private static final byte HEARTBEAT = 0;
-    private static final byte LEASE_REQUEST = 1;
-    private static final byte GRANT = 2;
-    private static final byte RELEASE = 3;
-    private static final byte EVIDENCE = 4;
+    private static final int BUFFER_BYTES = 64 * 1024;
 
     private final List<Mac> macs = new ArrayList<>();
 
     /**
-     * @param keys shared by all governors, 16 bytes each at least: the first signs, all are
-     *     accepted
+     * A codec that signs with the first key and accepts what any of them signed.
+     *
+     * @param keys shared by all governors, 16 bytes each at least
+     * @throws IllegalArgumentException if a key is too short
      */
     public PeerCodec(List<byte[]> keys) {
         for (byte[] key : keys) {
@@ -58,64 +60,25 @@
     }
 
     /**
-     * A Beat, Ask, Grant, Release or Said as a datagram; IllegalArgumentException if it does not
-     * fit into one.
+     * A {@link PeerMessage} as a datagram.
+     *
+     * @throws IllegalArgumentException if it is no such message or does not fit into one datagram
      */
     public byte[] encode(Object message) {
-        ByteBuffer out = ByteBuffer.allocate(64 * 1024).put(VERSION);
-        if (message instanceof FailureDetector.Heartbeat heartbeat) {
-            out.put(HEARTBEAT).put((byte) heartbeat.sender()).put((byte) heartbeat.view().size());
-            heartbeat
-                    .view()
-                    .forEach(
-                            memberState ->
-                                    out.put((byte) memberState.id())
-                                            .putLong(memberState.generation())
-                                            .putInt(memberState.incarnation())
-                                            .putLong(memberState.heartbeatNumber())
-                                            .put((byte) memberState.state().ordinal()));
-        } else if (message instanceof Leases.LeaseRequest request) {
-            out.put(LEASE_REQUEST)
-                    .put((byte) request.sender())
-                    .putLong(request.generation())
-                    .putLong(request.sequence())
-                    .putDouble(request.sentAt())
-                    .putInt(request.load().streams())
-                    .putInt(request.load().capacity())
-                    .put((byte) request.load().zone());
-            claims(out, request.claims());
-        } else if (message instanceof Leases.Grant grant) {
-            out.put(GRANT)
-                    .put((byte) grant.voter())
-                    .putLong(grant.voterGeneration())
-                    .putLong(grant.session())
-                    .put((byte) grant.recipient())
-                    .putLong(grant.recipientGeneration())
-                    .putDouble(grant.requestSentAt());
-            claims(out, grant.granted());
-            claims(out, grant.rejected());
-        } else if (message instanceof Leases.Release release) {
-            claims(
-                    out.put(RELEASE).put((byte) release.sender()).putLong(release.generation()),
-                    release.claims());
-        } else if (message instanceof EvidenceExchange.Evidence evidence) {
-            out.put(EVIDENCE)
-                    .put((byte) evidence.sender())
-                    .putLong(evidence.generation())
-                    .putLong(evidence.sequence())
-                    .putDouble(evidence.spanMillis())
-                    .putShort((short) evidence.observations().size());
-            evidence.observations()
-                    .forEach(
-                            observation ->
-                                    out.putLong(observation.endpoint())
-                                            .putShort((short) observation.attempts())
-                                            .putShort((short) observation.failedAttempts())
-                                            .putFloat((float) observation.responseMillis())
-                                            .putFloat((float) observation.load()));
-        } else {
-            throw new IllegalArgumentException("no message: " + message);
+        if (message instanceof PeerMessage peerMessage) {
+            return encode(peerMessage);
         }
+        throw new IllegalArgumentException("no message: " + message);
+    }
+
+    /**
+     * A message as a datagram.
+     *
+     * @throws IllegalArgumentException if it does not fit into one
+     */
+    public byte[] encode(PeerMessage message) {
+        ByteBuffer out = ByteBuffer.allocate(BUFFER_BYTES).put(VERSION);
+        message.accept(new PeerMessageEncoder(out));
         byte[] content = Arrays.copyOf(out.array(), out.position());
         if (content.length + MAC_BYTES > MAX_PACKET_BYTES) {
             throw new IllegalArgumentException("a message of " + content.length + " bytes");
@@ -125,64 +88,20 @@
         return packet;
     }
 
-    private static void claims(ByteBuffer out, List<Leases.Claim> claims) {
-        out.putShort((short) claims.size());
-        claims.forEach(claim -> out.putLong(claim.proxy()).putLong(claim.epoch()));
-    }
-
-    /** What a datagram says. */
-    public Object decode(byte[] packet) throws MalformedPacketException {
-        if (packet.length > MAX_PACKET_BYTES || packet.length < 2 + MAC_BYTES) {
-            throw new MalformedPacketException("a packet of " + packet.length + " bytes");
-        }
-        byte[] content = Arrays.copyOf(packet, packet.length - MAC_BYTES);
-        byte[] receivedMac = Arrays.copyOfRange(packet, content.length, packet.length);
-        if (macs.stream()
-                .noneMatch(
-                        mac ->
-                                MessageDigest.isEqual(
-                                        receivedMac,
-                                        Arrays.copyOf(mac.doFinal(content), MAC_BYTES)))) {
-            throw new MalformedPacketException("its sum is wrong: cut off, or by another key");
-        }
-        ByteBuffer in = ByteBuffer.wrap(content);
+    /**
+     * The message of a datagram.
+     *
+     * @throws MalformedPacketException if it holds none that this version understands
+     */
+    public PeerMessage decode(byte[] packet) throws MalformedPacketException {
+        ByteBuffer in = ByteBuffer.wrap(authenticatedContent(packet));
         byte version = in.get();
         if (version != VERSION) {
             throw new MalformedPacketException(
                     "version " + version + "; this program speaks " + VERSION);
         }
         try {
-            Object message =
-                    switch (in.get()) {
-                        case HEARTBEAT -> readHeartbeat(in);
-                        case LEASE_REQUEST ->
-                                new Leases.LeaseRequest(
-                                        in.get(),
-                                        in.getLong(),
-                                        in.getLong(),
-                                        in.getDouble(),
-                                        new Leases.GovernorLoad(in.getInt(), in.getInt(), in.get()),
-                                        claims(in));
-                        case GRANT ->
-                                new Leases.Grant(
-                                        in.get(),
-                                        in.getLong(),
-                                        in.getLong(),
-                                        in.get(),
-                                        in.getLong(),
-                                        in.getDouble(),
-                                        claims(in),
-                                        claims(in));
-                        case RELEASE -> new Leases.Release(in.get(), in.getLong(), claims(in));
-                        case EVIDENCE ->
-                                new EvidenceExchange.Evidence(
-                                        in.get(),
-                                        in.getLong(),
-                                        in.getLong(),
-                                        in.getDouble(),
-                                        readObservations(in));
-                        default -> throw new MalformedPacketException("an unknown kind");
-                    };
+            PeerMessage message = new PeerMessageDecoder(in).decode();
             if (in.hasRemaining()) {
                 throw new MalformedPacketException(in.remaining() + " bytes too many");
             }
@@ -192,54 +111,19 @@
         }
     }
 
-    private static FailureDetector.Heartbeat readHeartbeat(ByteBuffer in) {
-        int sender = in.get();
-        int count = in.get();
-        List<FailureDetector.MemberState> view = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            view.add(
-                    new FailureDetector.MemberState(
-                            in.get(),
-                            in.getLong(),
-                            in.getInt(),
-                            in.getLong(),
-                            FailureDetector.State.values()[in.get()]));
-        }
-        return new FailureDetector.Heartbeat(sender, view);
-    }
-
-    private static List<Leases.Claim> claims(ByteBuffer in) {
-        int count = readCount(in);
-        List<Leases.Claim> claims = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            claims.add(new Leases.Claim(in.getLong(), in.getLong()));
-        }
-        return claims;
-    }
-
-    private static List<EvidenceExchange.EndpointObservation> readObservations(ByteBuffer in) {
-        int count = readCount(in);
-        List<EvidenceExchange.EndpointObservation> observations = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            observations.add(
-                    new EvidenceExchange.EndpointObservation(
-                            in.getLong(),
-                            in.getShort() & 0xFFFF,
-                            in.getShort() & 0xFFFF,
-                            in.getFloat(),
-                            in.getFloat()));
+    /** The packet without its authentication code, once that is verified. */
+    private byte[] authenticatedContent(byte[] packet) throws MalformedPacketException {
+        if (packet.length > MAX_PACKET_BYTES || packet.length < HEADER_BYTES + MAC_BYTES) {
+            throw new MalformedPacketException("a packet of " + packet.length + " bytes");
         }
-        return observations;
-    }
-
-    /**
-     * A count that the rest can hold; one below 0 or far too many is an end that came too early.
-     */
-    private static int readCount(ByteBuffer in) {
-        int count = in.getShort();
-        if (count < 0 || count > MAX_PACKET_BYTES) {
-            throw new BufferUnderflowException();
+        byte[] content = Arrays.copyOf(packet, packet.length - MAC_BYTES);
+        byte[] receivedMac = Arrays.copyOfRange(packet, content.length, packet.length);
+        for (Mac mac : macs) {
+            byte[] expectedMac = Arrays.copyOf(mac.doFinal(content), MAC_BYTES);
+            if (MessageDigest.isEqual(receivedMac, expectedMac)) {
+                return content;
+            }
         }
-        return count;
+        throw new MalformedPacketException("its sum is wrong: cut off, or by another key");
     }
 }
--- a/src/main/java/sprucelanding/control/membership/ProxyQuota.java
+++ b/src/main/java/sprucelanding/control/membership/ProxyQuota.java
@@ -87,8 +87,8 @@
         drainStartCount = Math.max(1, proxiesByKey.size());
     }
 
-    public Leases.GovernorLoad load() {
-        return new Leases.GovernorLoad(proxiesByKey.size(), capacity, zone);
+    public GovernorLoad load() {
+        return new GovernorLoad(proxiesByKey.size(), capacity, zone);
     }
 
     public void onProxyConnected(long proxy, int proxyZone) {
@@ -132,11 +132,9 @@
         if (count <= MIN_CAPACITY_FRACTION * capacity) {
             return false;
         }
-        List<Leases.GovernorLoad> others = others();
-        double totalCapacity =
-                capacity + others.stream().mapToDouble(Leases.GovernorLoad::capacity).sum();
-        double totalStreams =
-                count + others.stream().mapToDouble(Leases.GovernorLoad::streams).sum();
+        List<GovernorLoad> others = others();
+        double totalCapacity = capacity + others.stream().mapToDouble(GovernorLoad::capacity).sum();
+        double totalStreams = count + others.stream().mapToDouble(GovernorLoad::streams).sum();
         boolean otherHasRoom =
                 others.stream()
                         .anyMatch(
@@ -147,7 +145,7 @@
     }
 
     /** What those of the others said that were heard of late. */
-    private List<Leases.GovernorLoad> others() {
+    private List<GovernorLoad> others() {
         return IntStream.range(0, FailureDetector.MAX_GOVERNORS)
                 .filter(governor -> governor != selfId)
                 .mapToObj(leases::reportedLoad)
--- a/src/test/java/sprucelanding/control/membership/FleetSafetyTest.java
+++ b/src/test/java/sprucelanding/control/membership/FleetSafetyTest.java
@@ -295,57 +295,53 @@
     @Test
     void staleRequestsAndGrantsOfEarlierGenerationAreIgnored() {
         Leases voter = new Leases(0, 1000, 3, 1500, 0.02, 0, 0);
-        List<Leases.Grant> grants = new ArrayList<>();
+        List<Grant> grants = new ArrayList<>();
         GrantCollector collector = new GrantCollector(grants);
-        Leases.GovernorLoad load = new Leases.GovernorLoad(1, 1, 0);
-        voter.onRequest(
-                new Leases.LeaseRequest(1, 2000, 5, 0, load, List.of(new Leases.Claim(9, 2001))));
-        voter.onRequest(
-                new Leases.LeaseRequest(1, 2000, 4, 0, load, List.of(new Leases.Claim(8, 2001))));
-        voter.onRequest(
-                new Leases.LeaseRequest(1, 1500, 9, 0, load, List.of(new Leases.Claim(7, 2001))));
+        GovernorLoad load = new GovernorLoad(1, 1, 0);
+        voter.onRequest(new LeaseRequest(1, 2000, 5, 0, load, List.of(new Claim(9, 2001))));
+        voter.onRequest(new LeaseRequest(1, 2000, 4, 0, load, List.of(new Claim(8, 2001))));
+        voter.onRequest(new LeaseRequest(1, 1500, 9, 0, load, List.of(new Claim(7, 2001))));
         while (voter.decide(collector)) {
             continue;
         }
         assertEquals(
-                List.of(List.of(new Leases.Claim(9, 2001))),
-                grants.stream().map(Leases.Grant::granted).toList());
+                List.of(List.of(new Claim(9, 2001))), grants.stream().map(Grant::granted).toList());
         Leases requester = new Leases(1, 2000, 3, 1500, 0.02, 0, 0);
         requester.onProxyConnected(9);
         requester.onGrant(
-                new Leases.Grant(
+                new Grant(
                         0,
                         1000,
                         1,
                         1,
                         1999,
                         0,
-                        List.of(new Leases.Claim(9, 2001)),
+                        List.of(new Claim(9, 2001)),
                         List.of())); // another life
         requester.onGrant(
-                new Leases.Grant(
+                new Grant(
                         0,
                         1000,
                         1,
                         1,
                         2000,
                         500,
-                        List.of(new Leases.Claim(9, 2001)),
+                        List.of(new Claim(9, 2001)),
                         List.of())); // from ahead
         assertFalse(requester.isOwner(9) || requester.hasMajority());
     }
 
-    private record GrantCollector(List<Leases.Grant> grants) implements Leases.Actions {
+    private record GrantCollector(List<Grant> grants) implements Leases.Actions {
         @Override
-        public void sendRequest(Leases.LeaseRequest request) {}
+        public void sendRequest(LeaseRequest request) {}
 
         @Override
-        public void sendGrant(Leases.Grant grant) {
+        public void sendGrant(Grant grant) {
             grants.add(grant);
         }
 
         @Override
-        public void sendRelease(Leases.Release release) {}
+        public void sendRelease(Release release) {}
 
         @Override
         public void onAcquired(long proxy, long epoch) {}
@@ -377,31 +373,31 @@
         detector.advanceTo(0);
         assertTrue(
                 detector.onHeartbeat(
-                        new FailureDetector.Heartbeat(
+                        new Heartbeat(
                                 1,
                                 List.of(
-                                        new FailureDetector.MemberState(
+                                        new MemberState(
                                                 1, 2000, 0, 5, FailureDetector.State.ALIVE)))));
         assertFalse(
                 detector.onHeartbeat(
-                        new FailureDetector.Heartbeat(
+                        new Heartbeat(
                                 1,
                                 List.of(
-                                        new FailureDetector.MemberState(
+                                        new MemberState(
                                                 1, 1500, 9, 99, FailureDetector.State.LEFT)))));
         assertFalse(
                 detector.onHeartbeat(
-                        new FailureDetector.Heartbeat(
+                        new Heartbeat(
                                 7,
                                 List.of(
-                                        new FailureDetector.MemberState(
+                                        new MemberState(
                                                 7, 2000, 0, 5, FailureDetector.State.ALIVE)))));
         assertFalse(
                 detector.onHeartbeat(
-                        new FailureDetector.Heartbeat(
+                        new Heartbeat(
                                 0,
                                 List.of(
-                                        new FailureDetector.MemberState(
+                                        new MemberState(
                                                 0, 9000, 0, 5, FailureDetector.State.ALIVE)))));
         assertEquals(FailureDetector.State.ALIVE, detector.state(1));
     }
@@ -411,18 +407,16 @@
         FailureDetector detector = new FailureDetector(0, 1000, Set.of(0, 1), 100, 500, 500);
         detector.advanceTo(0);
         detector.onHeartbeat(
-                new FailureDetector.Heartbeat(
+                new Heartbeat(
                         1,
                         List.of(
-                                new FailureDetector.MemberState(
-                                        1, 2000, 0, 5, FailureDetector.State.ALIVE),
-                                new FailureDetector.MemberState(
-                                        0, 1000, 0, 3, FailureDetector.State.DEAD))));
-        List<FailureDetector.Heartbeat> heartbeats = new ArrayList<>();
+                                new MemberState(1, 2000, 0, 5, FailureDetector.State.ALIVE),
+                                new MemberState(0, 1000, 0, 3, FailureDetector.State.DEAD))));
+        List<Heartbeat> heartbeats = new ArrayList<>();
         FailureDetector.Actions actions =
                 new FailureDetector.Actions() {
                     @Override
-                    public void sendHeartbeat(FailureDetector.Heartbeat heartbeat) {
+                    public void sendHeartbeat(Heartbeat heartbeat) {
                         heartbeats.add(heartbeat);
                     }
 
@@ -432,7 +426,7 @@
         while (detector.decide(actions)) {
             continue;
         }
-        FailureDetector.MemberState own = heartbeats.get(0).view().get(0);
+        MemberState own = heartbeats.get(0).view().get(0);
         assertEquals(1, own.incarnation());
         assertEquals(FailureDetector.State.ALIVE, own.state());
     }
--- a/src/test/java/sprucelanding/control/membership/PeerCodecTest.java
+++ b/src/test/java/sprucelanding/control/membership/PeerCodecTest.java
@@ -14,24 +14,23 @@
 /** What governors take from a wire that anybody may write to. */
 class PeerCodecTest {
     private final PeerCodec codec = new PeerCodec(List.of("sixteen bytes at least".getBytes()));
-    private final Leases.LeaseRequest request =
-            new Leases.LeaseRequest(
+    private final LeaseRequest request =
+            new LeaseRequest(
                     3,
                     1_700_000_000_123L,
                     4,
                     12.5,
-                    new Leases.GovernorLoad(7, 64, 1),
-                    List.of(new Leases.Claim(7, 99)));
+                    new GovernorLoad(7, 64, 1),
+                    List.of(new Claim(7, 99)));
 
     @Test
     void everyMessageRoundTrips() throws Exception {
         for (Object message :
                 List.of(
                         request,
-                        new Leases.Grant(
-                                1, 8, 2, 3, 5, 12.5, List.of(new Leases.Claim(1, 2)), List.of()),
-                        new Leases.Release(2, 8, List.of(new Leases.Claim(1, 2))),
-                        new EvidenceExchange.Evidence(
+                        new Grant(1, 8, 2, 3, 5, 12.5, List.of(new Claim(1, 2)), List.of()),
+                        new Release(2, 8, List.of(new Claim(1, 2))),
+                        new Evidence(
                                 2,
                                 8,
                                 3,
@@ -39,10 +38,10 @@
                                 List.of(
                                         new EvidenceExchange.EndpointObservation(
                                                 1000, 40_000, 3, 12.5, 0.5))),
-                        new FailureDetector.Heartbeat(
+                        new Heartbeat(
                                 1,
                                 List.of(
-                                        new FailureDetector.MemberState(
+                                        new MemberState(
                                                 1, 5, 2, 77, FailureDetector.State.SUSPECT))))) {
             assertEquals(message, codec.decode(codec.encode(message)));
         }
@@ -77,32 +76,27 @@
 
     @Test
     void largestMessagesFitIntoOnePacket() throws Exception {
-        List<FailureDetector.MemberState> view = new ArrayList<>();
+        List<MemberState> view = new ArrayList<>();
         for (int i = 0; i < 32; i++) {
-            view.add(new FailureDetector.MemberState(i, 1, 0, 1, FailureDetector.State.ALIVE));
+            view.add(new MemberState(i, 1, 0, 1, FailureDetector.State.ALIVE));
         }
         assertEquals(
-                32,
-                ((FailureDetector.Heartbeat)
-                                codec.decode(codec.encode(new FailureDetector.Heartbeat(0, view))))
-                        .view()
-                        .size());
-        List<Leases.Claim> claims = new ArrayList<>();
+                32, ((Heartbeat) codec.decode(codec.encode(new Heartbeat(0, view)))).view().size());
+        List<Claim> claims = new ArrayList<>();
         for (int i = 0; i < Leases.MAX_CLAIMS_PER_PACKET; i++) {
-            claims.add(new Leases.Claim(i, 1));
+            claims.add(new Claim(i, 1));
         }
-        codec.encode(new Leases.Grant(0, 1, 1, 1, 1, 1, claims, List.of()));
+        codec.encode(new Grant(0, 1, 1, 1, 1, 1, claims, List.of()));
         List<EvidenceExchange.EndpointObservation> observations =
                 java.util.Collections.nCopies(
                         EvidenceExchange.MAX_OBSERVATIONS_PER_PACKET,
                         new EvidenceExchange.EndpointObservation(1, 1, 1, 1, 1));
-        codec.encode(new EvidenceExchange.Evidence(0, 1, 1, 1, observations));
+        codec.encode(new Evidence(0, 1, 1, 1, observations));
         claims.addAll(List.copyOf(claims));
         assertThrows(
                 IllegalArgumentException.class,
                 () ->
                         codec.encode(
-                                new Leases.LeaseRequest(
-                                        0, 1, 1, 1, new Leases.GovernorLoad(0, 1, 0), claims)));
+                                new LeaseRequest(0, 1, 1, 1, new GovernorLoad(0, 1, 0), claims)));
     }
 }
--- a/src/test/java/sprucelanding/control/membership/RecordedPacketsTest.java
+++ b/src/test/java/sprucelanding/control/membership/RecordedPacketsTest.java
@@ -26,9 +26,9 @@
     private static final int STEP = 50;
     private final PeerCodec packets = new PeerCodec(List.of(FIRST_KEY, SECOND_KEY));
 
-    private static List<Leases.Claim> claims(int count) {
+    private static List<Claim> claims(int count) {
         return LongStream.range(0, count)
-                .mapToObj(i -> new Leases.Claim(1 + i * 1_000_003, i * 17))
+                .mapToObj(i -> new Claim(1 + i * 1_000_003, i * 17))
                 .toList();
     }
 
@@ -46,43 +46,33 @@
     }
 
     private static Map<String, Object> messages() {
-        List<FailureDetector.MemberState> everyState = new ArrayList<>();
+        List<MemberState> everyState = new ArrayList<>();
         for (FailureDetector.State state : FailureDetector.State.values()) {
             int i = state.ordinal();
-            everyState.add(
-                    new FailureDetector.MemberState(i, LIFE + i, i * 3, Long.MAX_VALUE - i, state));
+            everyState.add(new MemberState(i, LIFE + i, i * 3, Long.MAX_VALUE - i, state));
         }
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("heartbeat-alone", new FailureDetector.Heartbeat(0, List.of()));
-        all.put("heartbeat-of-every-state", new FailureDetector.Heartbeat(31, everyState));
+        all.put("heartbeat-alone", new Heartbeat(0, List.of()));
+        all.put("heartbeat-of-every-state", new Heartbeat(31, everyState));
         all.put(
                 "ask-for-nothing",
-                new Leases.LeaseRequest(
-                        1, LIFE, 1, 0.125, new Leases.GovernorLoad(0, 0, -1), List.of()));
+                new LeaseRequest(1, LIFE, 1, 0.125, new GovernorLoad(0, 0, -1), List.of()));
         all.put(
                 "ask-for-three",
-                new Leases.LeaseRequest(
-                        2,
-                        LIFE,
-                        77,
-                        123_456.789,
-                        new Leases.GovernorLoad(750, 1500, 2),
-                        claims(3)));
+                new LeaseRequest(
+                        2, LIFE, 77, 123_456.789, new GovernorLoad(750, 1500, 2), claims(3)));
         all.put(
                 "ask-for-sixty",
-                new Leases.LeaseRequest(
-                        2, LIFE, 78, -1, new Leases.GovernorLoad(1, 2, 3), claims(60)));
-        all.put(
-                "grant-of-nothing",
-                new Leases.Grant(0, LIFE, 1, 1, LIFE + 9, 5, List.of(), List.of()));
+                new LeaseRequest(2, LIFE, 78, -1, new GovernorLoad(1, 2, 3), claims(60)));
+        all.put("grant-of-nothing", new Grant(0, LIFE, 1, 1, LIFE + 9, 5, List.of(), List.of()));
         all.put(
                 "grant-and-refusal",
-                new Leases.Grant(3, LIFE, 4, 5, LIFE + 9, 1e9 + 0.5, claims(4), claims(2)));
-        all.put("release-of-nothing", new Leases.Release(7, LIFE, List.of()));
-        all.put("release-of-five", new Leases.Release(7, LIFE, claims(5)));
-        all.put("sums-of-none", new EvidenceExchange.Evidence(4, LIFE, 1, 1000, List.of()));
-        all.put("sums-of-three", new EvidenceExchange.Evidence(4, LIFE, 2, 999.5, sums(3)));
-        all.put("sums-of-fifty", new EvidenceExchange.Evidence(4, LIFE, 3, 1000, sums(50)));
+                new Grant(3, LIFE, 4, 5, LIFE + 9, 1e9 + 0.5, claims(4), claims(2)));
+        all.put("release-of-nothing", new Release(7, LIFE, List.of()));
+        all.put("release-of-five", new Release(7, LIFE, claims(5)));
+        all.put("sums-of-none", new Evidence(4, LIFE, 1, 1000, List.of()));
+        all.put("sums-of-three", new Evidence(4, LIFE, 2, 999.5, sums(3)));
+        all.put("sums-of-fifty", new Evidence(4, LIFE, 3, 1000, sums(50)));
         return all;
     }
 
--- a/src/test/java/sprucelanding/runtime/governor/GovernorPeersTest.java
+++ b/src/test/java/sprucelanding/runtime/governor/GovernorPeersTest.java
@@ -25,12 +25,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import sprucelanding.control.membership.Claim;
 import sprucelanding.control.membership.EvidenceExchange;
 import sprucelanding.control.membership.FailureDetector;
 import sprucelanding.control.membership.FleetMember;
+import sprucelanding.control.membership.GovernorLoad;
+import sprucelanding.control.membership.Grant;
+import sprucelanding.control.membership.LeaseRequest;
 import sprucelanding.control.membership.Leases;
 import sprucelanding.control.membership.PeerCodec;
 import sprucelanding.control.membership.ProxyQuota;
+import sprucelanding.control.membership.Release;
 import sprucelanding.front.xds.ResourceEncoder;
 import sprucelanding.runtime.eventloop.EventLoop;
 import sprucelanding.simulation.loopback.LoopbackPorts;
@@ -40,7 +45,7 @@
 @Timeout(60)
 class GovernorPeersTest {
     private static final byte[] KEY = "sixteen bytes at least".getBytes();
-    private static final Leases.GovernorLoad IDLE = new Leases.GovernorLoad(0, 64, 0);
+    private static final GovernorLoad IDLE = new GovernorLoad(0, 64, 0);
     @TempDir Path folder;
 
     /** Governor 1 of three: it votes for whatever governor 0 asks, as long as the story lets it. */
@@ -48,8 +53,8 @@
         final DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         final PeerCodec codec = new PeerCodec(List.of(KEY));
         final InetSocketAddress governor;
-        final List<Leases.LeaseRequest> requests = new ArrayList<>();
-        final List<Leases.Release> releases = new ArrayList<>();
+        final List<LeaseRequest> requests = new ArrayList<>();
+        final List<Release> releases = new ArrayList<>();
         volatile boolean granting = true;
         long sequence;
 
@@ -69,11 +74,11 @@
                     socket.receive(datagram);
                     Object message = codec.decode(Arrays.copyOf(buffer, datagram.getLength()));
                     synchronized (this) {
-                        if (message instanceof Leases.LeaseRequest request) {
+                        if (message instanceof LeaseRequest request) {
                             requests.add(request);
                             if (granting) {
                                 sendMessage(
-                                        new Leases.Grant(
+                                        new Grant(
                                                 1,
                                                 500,
                                                 1,
@@ -83,7 +88,7 @@
                                                 request.claims(),
                                                 List.of()));
                             }
-                        } else if (message instanceof Leases.Release release) {
+                        } else if (message instanceof Release release) {
                             releases.add(release);
                         }
                         notifyAll();
@@ -105,13 +110,13 @@
         /** A proxy has dialled there, too. */
         void claim(String proxy, long epoch) throws IOException {
             sendMessage(
-                    new Leases.LeaseRequest(
+                    new LeaseRequest(
                             1,
                             500,
                             ++sequence,
                             0,
                             IDLE,
-                            List.of(new Leases.Claim(Leases.proxyKey(proxy), epoch))));
+                            List.of(new Claim(Leases.proxyKey(proxy), epoch))));
         }
 
         synchronized void awaitRelease(String proxy) throws InterruptedException {
@@ -199,7 +204,7 @@
                         long epoch =
                                 other.requests.stream()
                                         .flatMap(request -> request.claims().stream())
-                                        .mapToLong(Leases.Claim::epoch)
+                                        .mapToLong(Claim::epoch)
                                         .max()
                                         .orElse(0);
                         assertEquals("here#" + epoch, first.getControlPlane().getIdentifier());
@@ -234,27 +239,27 @@
                         Thread.sleep(400);
                         byte[] validPacket =
                                 other.codec.encode(
-                                        new Leases.LeaseRequest(
+                                        new LeaseRequest(
                                                 1,
                                                 500,
                                                 99,
                                                 0,
                                                 IDLE,
                                                 List.of(
-                                                        new Leases.Claim(
+                                                        new Claim(
                                                                 Leases.proxyKey("p"), 1_000_000))));
                         other.sendPacket(Arrays.copyOf(validPacket, validPacket.length - 1));
                         other.sendPacket(
                                 new PeerCodec(List.of("another key, as long".getBytes()))
                                         .encode(
-                                                new Leases.LeaseRequest(
+                                                new LeaseRequest(
                                                         1,
                                                         500,
                                                         99,
                                                         0,
                                                         IDLE,
                                                         List.of(
-                                                                new Leases.Claim(
+                                                                new Claim(
                                                                         Leases.proxyKey("p"),
                                                                         1_000_000)))));
                         other.sendPacket(new byte[2000]);
@@ -272,7 +277,7 @@
     void keysRotateInServiceAndInvalidFileIsIgnored() throws Exception {
         PeerKeys peerKeys = new PeerKeys(writeKeyFile("00112233445566778899aabbccddeeff"));
         PeerCodec codecBefore = peerKeys.codec();
-        byte[] oldPacket = codecBefore.encode(new Leases.Release(1, 5, List.of()));
+        byte[] oldPacket = codecBefore.encode(new Release(1, 5, List.of()));
         Path file = writeKeyFile("no key at all");
         setModifiedTime(file, 1);
         peerKeys.reloadIfChanged();
@@ -284,8 +289,8 @@
                         "00112233445566778899aabbccddeeff"),
                 2);
         peerKeys.reloadIfChanged();
-        assertEquals(new Leases.Release(1, 5, List.of()), peerKeys.codec().decode(oldPacket));
-        byte[] newPacket = peerKeys.codec().encode(new Leases.Release(1, 6, List.of()));
+        assertEquals(new Release(1, 5, List.of()), peerKeys.codec().decode(oldPacket));
+        byte[] newPacket = peerKeys.codec().encode(new Release(1, 6, List.of()));
         assertThrows(PeerCodec.MalformedPacketException.class, () -> codecBefore.decode(newPacket));
         Files.setPosixFilePermissions(file, PosixFilePermissions.fromString("rw-r--r--"));
         String reason = assertThrows(IOException.class, () -> new PeerKeys(file)).getMessage();
--- a/src/test/java/sprucelanding/runtime/governor/RecordedOwnFilesTest.java
+++ b/src/test/java/sprucelanding/runtime/governor/RecordedOwnFilesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import sprucelanding.control.discovery.EndpointList;
-import sprucelanding.control.membership.FailureDetector;
+import sprucelanding.control.membership.Heartbeat;
 import sprucelanding.recorded.Recorded;
 
 /**
@@ -100,7 +100,7 @@
     void theFirstRecordedKeySignsAndAllAreAccepted() throws Exception {
         PeerKeys both = new PeerKeys(Recorded.privateCopy("governor/keys", folder));
         PeerKeys old = new PeerKeys(Recorded.privateCopy("governor/old-key", folder));
-        FailureDetector.Heartbeat beat = new FailureDetector.Heartbeat(3, List.of());
+        Heartbeat beat = new Heartbeat(3, List.of());
         Recorded.assertBytes("governor/signed-by-first-key", both.codec().encode(beat));
         Recorded.assertBytes("governor/signed-by-second-key", old.codec().encode(beat));
         for (String each :
