--- a/src/main/java/sprucelanding/control/membership/Evidence.java
+++ b/src/main/java/sprucelanding/control/membership/Evidence.java
@@ -20,7 +20,7 @@
         List<EvidenceExchange.EndpointObservation> observations)
         implements PeerMessage {
     @Override
-    public void accept(Visitor visitor) {
-        visitor.visitEvidence(this);
+    public void deliverTo(Handler handler) {
+        handler.handleEvidence(this);
     }
 }
--- a/src/main/java/sprucelanding/control/membership/EvidenceExchange.java
+++ b/src/main/java/sprucelanding/control/membership/EvidenceExchange.java
@@ -1,53 +1,89 @@
 package sprucelanding.control.membership;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * What governors tell each other of the replicas, as evidence with age and source and never as
- * orders: sums of what their own proxies met, in bounded messages. A governor that starts hears it
- * before it decides; when another dies or leaves, its last word is taken in once, if it is not too
- * old; and between living ones it is taken in all along where that is wanted. Who sees most
- * replicas fail is rather cut off itself: that is left out. Call clock, met and heard, then decide
- * until it says false.
+ * What governors tell each other of the endpoints: sums of what their own proxies observed, with
+ * age and source, in messages of bounded size. It is evidence, never an order. A governor that
+ * starts hears it before it accepts proxies; when another one dies or leaves, what it reported last
+ * is applied once, unless it is too old; and between living governors it is applied all the time
+ * where that is wanted. A source that sees many endpoints fail is rather cut off itself and is left
+ * out.
+ *
+ * <p>Call {@link #advanceTo}, then what happened, then {@link #decide} until it is false. Not safe
+ * for use by several threads.
  */
 public final class EvidenceExchange {
     /**
-     * What a governor's proxies met at a replica: tries, those voided, ms a settled one took, load
-     * as told (negative: not).
+     * What a governor's proxies observed at an endpoint.
+     *
+     * @param endpoint the endpoint's id
+     * @param attempts how many attempts ended
+     * @param failedAttempts how many of them failed
+     * @param responseMillis mean response time of the others, ms
+     * @param load fraction of its cores in use, as the endpoint reported; negative if it did not
      */
     public record EndpointObservation(
-            long endpoint, int attempts, int failedAttempts, double responseMillis, double load) {}
+            long endpoint, int attempts, int failedAttempts, double responseMillis, double load) {
+        private static final int MAX_COUNT = 60_000;
+        private static final double MAX_RESPONSE_MILLIS = 1e6;
+        private static final double MAX_LOAD = 4;
+        private static final double UNKNOWN_LOAD = -1;
+
+        /** The same with each value within what a message can hold and is plausible. */
+        EndpointObservation bounded() {
+            int boundedAttempts = Math.min(attempts, MAX_COUNT);
+            return new EndpointObservation(
+                    endpoint,
+                    boundedAttempts,
+                    Math.max(0, Math.min(failedAttempts, boundedAttempts)),
+                    responseMillis >= 0 ? Math.min(responseMillis, MAX_RESPONSE_MILLIS) : 0,
+                    load >= 0 ? Math.min(load, MAX_LOAD) : UNKNOWN_LOAD);
+        }
+
+        /** The sum with a later observation of the same endpoint. */
+        EndpointObservation plus(EndpointObservation later) {
+            int completed = attempts - failedAttempts;
+            int laterCompleted = later.attempts - later.failedAttempts;
+            double meanResponseMillis =
+                    completed + laterCompleted == 0
+                            ? 0
+                            : (responseMillis * completed + later.responseMillis * laterCompleted)
+                                    / (completed + laterCompleted);
+            return new EndpointObservation(
+                            endpoint,
+                            attempts + later.attempts,
+                            failedAttempts + later.failedAttempts,
+                            meanResponseMillis,
+                            later.load >= 0 ? later.load : load)
+                    .bounded();
+        }
+    }
 
+    /** What the host is to do. */
     public interface Actions {
+        /** To all others; it may be lost. */
         void sendEvidence(Evidence evidence);
 
-        /** To be taken as if own proxies had met it. */
+        /** To be taken into account as if own proxies had observed it. */
         void applyObservation(EndpointObservation observation);
 
+        /** Something that operators want to know. */
         void logEvent(String text, Object... figures);
     }
 
-    private static final class Source {
-        long generation;
-        long sequence = -1;
-        double lastHeardAt;
-        double spanMillis;
-        boolean used;
-        final List<EndpointObservation> observations = new ArrayList<>();
-    }
+    static final int MAX_OBSERVATIONS_PER_PACKET = 50;
 
-    static final int MAX_OBSERVATIONS_PER_PACKET = 50; // in one packet
     private static final int MAX_ENDPOINTS = 4096;
-    private static final double MAX_EVIDENCE_AGE_MILLIS =
-            5000; // ms, past which a last word is no evidence
-    private static final double DOUBTFUL_ENDPOINT_FRACTION =
-            0.34; // of a source's replicas fail half of its tries
-    private static final int MAX_COUNT = 60_000;
+
+    /** Age past which what a lost governor reported last is not applied. */
+    private static final double MAX_EVIDENCE_AGE_MILLIS = 5000;
+
+    /** Fraction of the interval after which a span of a source is held for complete. */
+    private static final double SPAN_COMPLETE_DIVISOR = 10;
 
     private final int selfId;
     private final long generation;
@@ -55,19 +91,23 @@
     private final double maxCatchUpMillis;
     private final boolean continuous;
     private final double startedAt;
-    private final Map<Integer, Source> sourcesByGovernor = new TreeMap<>();
+    private final Map<Integer, EvidenceSource> sourcesByGovernor = new TreeMap<>();
     private final Map<Long, EndpointObservation> ownObservations = new LinkedHashMap<>();
-    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
-    private Actions actions;
+    private final PendingActions<Actions> pendingActions = new PendingActions<>();
     private double now;
     private double lastSentAt;
     private long sequence;
     private boolean caughtUp;
 
     /**
-     * @param every ms between two tellings
-     * @param catches ms that a governor which starts waits for the others' words at the most
-     * @param always what living governors tell is taken in all along, too
+     * The exchange of one generation of a governor.
+     *
+     * @param selfId this governor
+     * @param generation of this governor; ms since 1970 at which it began, or above
+     * @param intervalMillis ms between two messages of own observations
+     * @param maxCatchUpMillis ms that it waits for what others know after its start, at the most
+     * @param continuous whether what living governors tell is applied all the time
+     * @param now ms on its clock
      */
     public EvidenceExchange(
             int selfId,
@@ -87,188 +127,112 @@
         this.caughtUp = maxCatchUpMillis <= 0;
     }
 
+    /** Sets the clock, ms; a time before the present one changes nothing. */
     public void advanceTo(double time) {
         now = Math.max(now, time);
     }
 
-    /** What its own proxies met; not what others told. */
+    /** What own proxies observed; not what others reported. */
     public void recordOwnObservation(
             long endpoint, int attempts, int failedAttempts, double responseMillis, double load) {
-        if (attempts > 0
-                && (ownObservations.size() < MAX_ENDPOINTS
-                        || ownObservations.containsKey(endpoint))) {
-            ownObservations.merge(
-                    endpoint,
-                    boundedObservation(endpoint, attempts, failedAttempts, responseMillis, load),
-                    EvidenceExchange::merge);
+        boolean tracked =
+                ownObservations.size() < MAX_ENDPOINTS || ownObservations.containsKey(endpoint);
+        if (attempts > 0 && tracked) {
+            EndpointObservation observation =
+                    new EndpointObservation(
+                            endpoint, attempts, failedAttempts, responseMillis, load);
+            ownObservations.merge(endpoint, observation.bounded(), EndpointObservation::plus);
         }
     }
 
-    private static EndpointObservation boundedObservation(
-            long endpoint, int attempts, int failedAttempts, double responseMillis, double load) {
-        int boundedAttempts = Math.min(attempts, MAX_COUNT);
-        return new EndpointObservation(
-                endpoint,
-                boundedAttempts,
-                Math.max(0, Math.min(failedAttempts, boundedAttempts)),
-                responseMillis >= 0 ? Math.min(responseMillis, 1e6) : 0,
-                load >= 0 ? Math.min(load, 4) : -1);
-    }
-
-    private static EndpointObservation merge(
-            EndpointObservation first, EndpointObservation second) {
-        int firstCompleted = first.attempts - first.failedAttempts;
-        int secondCompleted = second.attempts - second.failedAttempts;
-        double meanResponseMillis =
-                firstCompleted + secondCompleted == 0
-                        ? 0
-                        : (first.responseMillis * firstCompleted
-                                        + second.responseMillis * secondCompleted)
-                                / (firstCompleted + secondCompleted);
-        return boundedObservation(
-                first.endpoint,
-                first.attempts + second.attempts,
-                first.failedAttempts + second.failedAttempts,
-                meanResponseMillis,
-                second.load >= 0 ? second.load : first.load);
-    }
-
-    /** False: it is late, or of an earlier life, and nothing of it was taken. */
+    /**
+     * Another governor reported its observations.
+     *
+     * @return false if nothing of them was taken over, for they are late or of an earlier
+     *     generation
+     */
     public boolean onEvidence(Evidence evidence) {
         if (evidence.sender() == selfId) {
             return false;
         }
-        Source source =
-                sourcesByGovernor.computeIfAbsent(evidence.sender(), observation -> new Source());
-        if (evidence.generation() < source.generation
-                || evidence.generation() == source.generation
-                        && evidence.sequence() < source.sequence) {
+        EvidenceSource source =
+                sourcesByGovernor.computeIfAbsent(
+                        evidence.sender(), id -> new EvidenceSource(MAX_ENDPOINTS));
+        if (source.isStale(evidence)) {
             return false;
         }
-        if (evidence.generation() > source.generation || evidence.sequence() > source.sequence) {
+        if (source.isOfNewSpan(evidence)) {
             applyIfContinuous(source);
-            source.generation = evidence.generation();
-            source.sequence = evidence.sequence();
-            source.observations.clear();
-            source.spanMillis = evidence.spanMillis();
-            source.used = false;
-        }
-        source.lastHeardAt = now;
-        if (source.observations.size() + evidence.observations().size() <= MAX_ENDPOINTS) {
-            evidence.observations()
-                    .forEach(
-                            observation ->
-                                    source.observations.add(
-                                            boundedObservation(
-                                                    observation.endpoint,
-                                                    observation.attempts,
-                                                    observation.failedAttempts,
-                                                    observation.responseMillis,
-                                                    observation.load)));
+            source.beginSpan(evidence);
         }
+        source.addPart(evidence, now);
         return true;
     }
 
-    /** The parts of a span have all come, or a newer one has. */
-    private void applyIfContinuous(Source source) {
-        if (continuous && !source.used && !source.observations.isEmpty()) {
-            applyObservations(source);
+    /** Applies a span of which all parts have come, or a newer one has. */
+    private void applyIfContinuous(EvidenceSource source) {
+        if (continuous && source.isPending()) {
+            apply(source);
         }
     }
 
-    private void applyObservations(Source source) {
-        source.used = true;
-        if (!isDoubtful(source.observations)) {
-            List<EndpointObservation> observations = List.copyOf(source.observations);
-            observations.forEach(
-                    observation -> pendingActions.add(() -> actions.applyObservation(observation)));
+    private void apply(EvidenceSource source) {
+        source.markApplied();
+        if (!source.isDoubtful()) {
+            for (EndpointObservation observation : source.observations()) {
+                pendingActions.add(actions -> actions.applyObservation(observation));
+            }
         }
     }
 
-    static boolean isDoubtful(List<EndpointObservation> observations) {
-        long failing =
-                observations.stream()
-                        .filter(
-                                observation ->
-                                        2 * observation.failedAttempts > observation.attempts)
-                        .count();
-        return failing > DOUBTFUL_ENDPOINT_FRACTION * observations.size();
-    }
-
-    /** A governor died, left or cannot be heard: its last word is taken in, if it is young. */
+    /**
+     * A governor died, left or cannot be heard: what it reported last is applied if it is recent.
+     */
     public void onGovernorLost(int governor) {
-        Source source = sourcesByGovernor.get(governor);
-        double age = source == null ? 0 : now - source.lastHeardAt;
-        if (source == null || source.used || source.observations.isEmpty()) {
+        EvidenceSource source = sourcesByGovernor.get(governor);
+        if (source == null || !source.isPending()) {
             return;
         }
-        boolean tooOld = age > MAX_EVIDENCE_AGE_MILLIS;
-        boolean doubtful = isDoubtful(source.observations);
-        int count = source.observations.size();
+        double ageMillis = now - source.lastHeardAt();
+        boolean tooOld = ageMillis > MAX_EVIDENCE_AGE_MILLIS;
+        String event = lastEvidenceEvent(tooOld, source.isDoubtful());
+        int endpointCount = source.observations().size();
         pendingActions.add(
-                () ->
+                actions ->
                         actions.logEvent(
-                                tooOld
-                                        ? "a last word is too old"
-                                        : doubtful
-                                                ? "a last word is doubted"
-                                                : "a last word is taken in",
+                                event,
                                 "of",
                                 governor,
                                 "ageMs",
-                                Math.round(age),
+                                Math.round(ageMillis),
                                 "replicas",
-                                count));
-        if (!tooOld) {
-            applyObservations(source);
+                                endpointCount));
+        if (tooOld) {
+            source.markApplied();
+        } else {
+            apply(source);
+        }
+    }
+
+    private static String lastEvidenceEvent(boolean tooOld, boolean doubtful) {
+        if (tooOld) {
+            return "a last word is too old";
         }
-        source.used = true;
+        return doubtful ? "a last word is doubted" : "a last word is taken in";
     }
 
-    /** Whether proxies may be taken: what others know was heard, or waited for long enough. */
+    /** Whether proxies may be accepted: what others know was heard, or waited for long enough. */
     public boolean isCaughtUp() {
         return caughtUp;
     }
 
-    /** One decision; false if there is none now. */
-    public boolean decide(Actions output) {
-        actions = output;
-        Runnable first = pendingActions.poll();
-        if (first != null) {
-            first.run();
+    /** Takes one decision; false if there is none to take now. */
+    public boolean decide(Actions actions) {
+        if (pendingActions.runNext(actions) || catchUp()) {
             return true;
         }
-        if (!caughtUp) {
-            boolean anyHeard =
-                    sourcesByGovernor.values().stream()
-                            .anyMatch(
-                                    source ->
-                                            source.lastHeardAt > startedAt
-                                                    && now - source.lastHeardAt
-                                                            > intervalMillis / 10);
-            if (anyHeard || now - startedAt >= maxCatchUpMillis) {
-                caughtUp = true;
-                for (Source source : sourcesByGovernor.values()) {
-                    applyObservations(source);
-                }
-                int sourceCount =
-                        (int)
-                                sourcesByGovernor.values().stream()
-                                        .filter(source -> !source.observations.isEmpty())
-                                        .count();
-                pendingActions.add(
-                        () ->
-                                actions.logEvent(
-                                        "begins with what others know",
-                                        "told",
-                                        sourceCount,
-                                        "afterMs",
-                                        Math.round(now - startedAt)));
-                return true;
-            }
-        }
-        for (Source source : sourcesByGovernor.values()) {
-            if (now - source.lastHeardAt > intervalMillis / 10) {
+        for (EvidenceSource source : sourcesByGovernor.values()) {
+            if (isSpanComplete(source)) {
                 applyIfContinuous(source);
             }
         }
@@ -278,24 +242,63 @@
         if (now - lastSentAt < intervalMillis) {
             return false;
         }
+        sendOwnObservations(actions);
+        return true;
+    }
+
+    private boolean isSpanComplete(EvidenceSource source) {
+        return now - source.lastHeardAt() > intervalMillis / SPAN_COMPLETE_DIVISOR;
+    }
+
+    /** Applies what others know, once after the start; whether that was done now. */
+    private boolean catchUp() {
+        if (caughtUp) {
+            return false;
+        }
+        boolean anyHeard =
+                sourcesByGovernor.values().stream()
+                        .anyMatch(
+                                source ->
+                                        source.lastHeardAt() > startedAt && isSpanComplete(source));
+        if (!anyHeard && now - startedAt < maxCatchUpMillis) {
+            return false;
+        }
+        caughtUp = true;
+        sourcesByGovernor.values().forEach(this::apply);
+        int sourceCount =
+                (int)
+                        sourcesByGovernor.values().stream()
+                                .filter(source -> !source.isEmpty())
+                                .count();
+        pendingActions.add(
+                actions ->
+                        actions.logEvent(
+                                "begins with what others know",
+                                "told",
+                                sourceCount,
+                                "afterMs",
+                                Math.round(now - startedAt)));
+        return true;
+    }
+
+    /** Sends what own proxies observed since it was last sent: one message at least. */
+    private void sendOwnObservations(Actions actions) {
         double spanMillis = now - lastSentAt;
         lastSentAt = now;
         sequence++;
         List<EndpointObservation> observations = List.copyOf(ownObservations.values());
         ownObservations.clear();
-        for (int i = 0; i == 0 || i < observations.size(); i += MAX_OBSERVATIONS_PER_PACKET) {
-            output.sendEvidence(
+        int start = 0;
+        do {
+            int end = Math.min(observations.size(), start + MAX_OBSERVATIONS_PER_PACKET);
+            actions.sendEvidence(
                     new Evidence(
                             selfId,
                             generation,
                             sequence,
                             spanMillis,
-                            observations.subList(
-                                    i,
-                                    Math.min(
-                                            observations.size(),
-                                            i + MAX_OBSERVATIONS_PER_PACKET))));
-        }
-        return true;
+                            observations.subList(start, end)));
+            start = end;
+        } while (start < observations.size());
     }
 }
--- a/src/main/java/sprucelanding/control/membership/FailureDetector.java
+++ b/src/main/java/sprucelanding/control/membership/FailureDetector.java
@@ -3,72 +3,91 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
 /**
- * Which governors live. Each sends beats with a number that rises, and in them the highest number
- * it knows of each other, so that who is cut off from one side only still lives. Who is not heard
- * of for a while is suspected, then dead; who hears that of itself refutes it by a higher
- * incarnation. Call clock, then heard or leaves, then decide until it says false.
+ * Which governors of a fleet live. Each sends heartbeats with a number that grows, and in them the
+ * highest number that it knows of some others, so that a member that is cut off from one side only
+ * still counts as alive. The idea is that of SWIM (Das, Gupta, Motivala, 2002): suspicion before
+ * death, and refutation by a higher incarnation.
+ *
+ * <table>
+ *   <caption>Transitions of another member</caption>
+ *   <tr><th>from</th><th>event</th><th>to</th></tr>
+ *   <tr><td>ALIVE, SUSPECT, DEAD</td><td>a newer heartbeat of it, or news of one</td><td>ALIVE</td>
+ *       </tr>
+ *   <tr><td>LEFT</td><td>news of a newer heartbeat with a higher incarnation</td><td>ALIVE</td>
+ *       </tr>
+ *   <tr><td>ALIVE</td><td>no news for suspectAfterMillis</td><td>SUSPECT</td></tr>
+ *   <tr><td>SUSPECT</td><td>no news for deadAfterMillis more, or another member holds it for
+ *       dead</td><td>DEAD</td></tr>
+ *   <tr><td>any</td><td>news, of its present incarnation, that it left</td><td>LEFT</td></tr>
+ *   <tr><td>any</td><td>news of a later generation</td><td>as DEAD, then by the same news</td></tr>
+ * </table>
+ *
+ * <p>The governor itself is ALIVE, and LEFT from {@link #announceLeave} on; when it hears that it
+ * is held for anything else it raises its incarnation.
+ *
+ * <p>Call {@link #advanceTo}, then {@link #onHeartbeat} or {@link #announceLeave}, then {@link
+ * #decide} until it is false. Not safe for use by several threads.
  */
 public final class FailureDetector {
+    /** What a member is held for. The order is that of the codes on the wire. */
     public enum State {
+        /** Heard of lately. */
         ALIVE,
+        /** Not heard of for some time; it still counts as live. */
         SUSPECT,
+        /** Not heard of for long, or never. */
         DEAD,
+        /** It said that it stops. */
         LEFT
     }
 
+    /** What the host is to do. */
     public interface Actions {
         /** To all others; it may be lost. */
         void sendHeartbeat(Heartbeat heartbeat);
 
+        /** A member is held for something else than before. */
         void onStateChanged(int id, State state);
     }
 
-    private static final double STALL_HEARTBEATS =
-            4; // beats missed of its own, past which it stood still itself
+    /** The most governors of a fleet. */
     static final int MAX_GOVERNORS = 32;
-    private static final int MAX_OTHERS_PER_HEARTBEAT = 8; // others that one beat tells of
 
-    private static final class Member {
-        final int id;
-        long generation;
-        int incarnation;
-        long heartbeatNumber;
-        State state = State.DEAD;
-        double lastHeardAt = Double.NEGATIVE_INFINITY;
+    /** Intervals between two calls, past which this governor itself stood still. */
+    private static final double STALL_HEARTBEATS = 4;
 
-        Member(int id) {
-            this.id = id;
-        }
-
-        MemberState snapshot() {
-            return new MemberState(id, generation, incarnation, heartbeatNumber, state);
-        }
-    }
+    /** How many other members one heartbeat tells of. */
+    private static final int MAX_OTHERS_PER_HEARTBEAT = 8;
 
     private final int selfId;
     private final double heartbeatIntervalMillis;
     private final double suspectAfterMillis;
     private final double deadAfterMillis;
-    private final Map<Integer, Member> membersById = new TreeMap<>();
+    private final Map<Integer, FleetPeer> membersById = new TreeMap<>();
     private final Set<Integer> changedMembers = new TreeSet<>();
     private double now;
-    private double lastAdvancedAt = Double.NaN;
+    private boolean clockStarted;
     private double lastHeartbeatAt = Double.NEGATIVE_INFINITY;
     private boolean heartbeatDue;
     private int nextMemberIndex;
 
     /**
-     * @param life ms since 1970 at which this process began: a later life of the same governor has
-     *     a higher one
-     * @param all ids of all governors that there may be, itself among them; 32 at most
-     * @param every ms between beats
-     * @param suspectAfter ms without a newer beat
-     * @param deadAfter ms more
+     * A detector of one generation of a governor.
+     *
+     * @param selfId this governor
+     * @param generation ms since 1970 at which its process began, or above; higher than those of
+     *     its earlier generations
+     * @param governorIds ids of all governors that there may be, itself among them; 32 at most
+     * @param heartbeatIntervalMillis ms between heartbeats
+     * @param suspectAfterMillis ms without news of a member until it is suspected
+     * @param deadAfterMillis ms more until it is held for dead
+     * @throws IllegalArgumentException if there are too many governors or it is none of them
      */
     public FailureDetector(
             int selfId,
@@ -89,196 +108,150 @@
         this.heartbeatIntervalMillis = heartbeatIntervalMillis;
         this.suspectAfterMillis = suspectAfterMillis;
         this.deadAfterMillis = deadAfterMillis;
-        governorIds.forEach(id -> membersById.put(id, new Member(id)));
-        Member selfMember = membersById.get(selfId);
-        selfMember.generation = generation;
-        selfMember.state = State.ALIVE;
+        governorIds.forEach(id -> membersById.put(id, new FleetPeer(id)));
+        self().startAsSelf(generation);
     }
 
+    private FleetPeer self() {
+        return membersById.get(selfId);
+    }
+
+    /** Sets the clock, ms; one that goes back stands still. */
     public void advanceTo(double time) {
-        double gap = Double.isNaN(lastAdvancedAt) ? 0 : time - lastAdvancedAt;
-        if (gap
-                > STALL_HEARTBEATS
-                        * heartbeatIntervalMillis) { // it stood still itself: that others were
-            // silent meanwhile says
-            // nothing of them
-            membersById.values().forEach(member -> member.lastHeardAt += gap);
+        if (!clockStarted) {
+            clockStarted = true;
+            now = time;
+            return;
         }
-        now =
-                Math.max(
-                        time,
-                        Double.isNaN(lastAdvancedAt)
-                                ? time
-                                : lastAdvancedAt); // a clock that jumps back stands still
-        lastAdvancedAt = now;
+        double gapMillis = time - now;
+        if (gapMillis > STALL_HEARTBEATS * heartbeatIntervalMillis) {
+            // It stood still itself: that it heard nothing meanwhile says nothing of the others.
+            membersById.values().forEach(member -> member.excuseSilence(gapMillis));
+        }
+        now = Math.max(time, now);
     }
 
     /**
-     * A beat arrived. False: it is of no governor that there may be, or of an earlier life, and
-     * nothing of it was taken.
+     * A heartbeat has arrived.
+     *
+     * @return false if nothing of it was taken over, for it is of no governor that there may be, or
+     *     of an earlier generation
      */
     public boolean onHeartbeat(Heartbeat heartbeat) {
-        MemberState own =
+        Optional<MemberState> senderState =
                 heartbeat.view().stream()
                         .filter(reported -> reported.id() == heartbeat.sender())
-                        .findFirst()
-                        .orElse(null);
-        Member sender = membersById.get(heartbeat.sender());
-        if (own == null
+                        .findFirst();
+        FleetPeer sender = membersById.get(heartbeat.sender());
+        if (senderState.isEmpty()
                 || sender == null
                 || heartbeat.sender() == selfId
-                || own.generation() < sender.generation) {
+                || senderState.get().generation() < sender.generation()) {
             return false;
         }
-        heartbeat.view().forEach(this::mergeState);
+        heartbeat.view().forEach(this::merge);
         return true;
     }
 
-    private void mergeState(MemberState reported) {
-        Member member = membersById.get(reported.id());
+    private void merge(MemberState reported) {
+        FleetPeer member = membersById.get(reported.id());
         if (member == null) {
             return;
         }
         if (reported.id() == selfId) {
-            boolean wronglySuspected =
-                    reported.generation() == member.generation
-                            && reported.incarnation() >= member.incarnation
-                            && reported.state() != State.ALIVE;
-            if (wronglySuspected && member.state == State.ALIVE) {
-                member.incarnation = reported.incarnation() + 1;
-                heartbeatDue = true;
-            }
-            return;
-        }
-        if (reported.generation() < member.generation) {
+            heartbeatDue |= member.refute(reported);
             return;
         }
-        if (reported.generation() > member.generation) { // it started anew
-            member.generation = reported.generation();
-            member.incarnation = reported.incarnation();
-            member.heartbeatNumber = 0;
-            member.state = State.DEAD;
-            member.lastHeardAt = Double.NEGATIVE_INFINITY;
-        }
-        boolean refutes = reported.incarnation() > member.incarnation;
-        member.incarnation = Math.max(member.incarnation, reported.incarnation());
-        boolean newer = reported.heartbeatNumber() > member.heartbeatNumber;
-        if (newer) {
-            member.heartbeatNumber = reported.heartbeatNumber();
-            member.lastHeardAt = now;
-        }
-        if (reported.state() == State.LEFT && reported.incarnation() >= member.incarnation) {
-            state(member, State.LEFT);
-        } else if (newer
-                && (reported.state() == State.ALIVE || reported.state() == State.SUSPECT)
-                && (refutes || member.state != State.LEFT)) {
-            state(member, State.ALIVE);
-        } else if (reported.state() == State.DEAD
-                && reported.incarnation() >= member.incarnation
-                && member.state == State.SUSPECT) {
-            state(member, State.DEAD); // two that hear nothing agree
+        if (member.merge(reported, now)) {
+            changedMembers.add(member.id());
         }
     }
 
-    /** This governor is about to stop: it says so with its last beats. */
+    /** This governor is about to stop: its last heartbeats say so. */
     public void announceLeave() {
-        Member selfMember = membersById.get(selfId);
-        selfMember.state = State.LEFT;
+        self().leave();
         heartbeatDue = true;
     }
 
-    private void state(Member member, State next) {
-        if (member.state != next) {
-            member.state = next;
-            changedMembers.add(member.id);
-        }
-    }
-
-    /** One decision; false if there is none now. */
+    /** Takes one decision; false if there is none to take now. */
     public boolean decide(Actions actions) {
-        for (Member member : membersById.values()) {
-            if (member.id != selfId
-                    && member.state == State.ALIVE
-                    && now - member.lastHeardAt > suspectAfterMillis) {
-                state(member, State.SUSPECT);
-            } else if (member.id != selfId
-                    && member.state == State.SUSPECT
-                    && now - member.lastHeardAt > suspectAfterMillis + deadAfterMillis) {
-                state(member, State.DEAD);
-            }
-        }
+        checkSilence();
         if (!changedMembers.isEmpty()) {
             int id = changedMembers.iterator().next();
             changedMembers.remove(id);
-            actions.onStateChanged(id, membersById.get(id).state);
+            actions.onStateChanged(id, state(id));
             return true;
         }
         if (heartbeatDue || now - lastHeartbeatAt >= heartbeatIntervalMillis) {
             heartbeatDue = false;
             lastHeartbeatAt = now;
-            membersById.get(selfId).heartbeatNumber++;
+            self().countHeartbeat();
             actions.sendHeartbeat(new Heartbeat(selfId, view()));
             return true;
         }
         return false;
     }
 
+    private void checkSilence() {
+        for (FleetPeer member : membersById.values()) {
+            if (member.id() != selfId
+                    && member.checkSilence(now, suspectAfterMillis, deadAfterMillis)) {
+                changedMembers.add(member.id());
+            }
+        }
+    }
+
     /**
-     * Itself, and some of the others by turns: among many, somebody's beat tells of each within the
-     * time of one.
+     * Itself, and some of the others in turn: of many governors, one or the other tells of each
+     * within the interval of one.
      */
     private List<MemberState> view() {
-        List<Member> otherMembers =
-                new ArrayList<>(
-                        membersById.values().stream()
-                                .filter(member -> member.id != selfId && member.generation > 0)
-                                .toList());
-        List<MemberState> view = new ArrayList<>(List.of(membersById.get(selfId).snapshot()));
-        for (int i = 0; i < Math.min(MAX_OTHERS_PER_HEARTBEAT, otherMembers.size()); i++) {
-            view.add(
-                    otherMembers
-                            .get(Math.floorMod(nextMemberIndex++, otherMembers.size()))
-                            .snapshot());
+        List<FleetPeer> others =
+                membersById.values().stream()
+                        .filter(member -> member.id() != selfId && member.wasEverHeard())
+                        .toList();
+        List<MemberState> view = new ArrayList<>();
+        view.add(self().snapshot());
+        for (int i = 0; i < Math.min(MAX_OTHERS_PER_HEARTBEAT, others.size()); i++) {
+            view.add(others.get(Math.floorMod(nextMemberIndex, others.size())).snapshot());
+            nextMemberIndex++;
         }
         return view;
     }
 
+    /** What a member is held for. */
     public State state(int id) {
-        return membersById.get(id).state;
+        return membersById.get(id).state();
     }
 
-    /** Those that take part: itself, and all that are alive or only suspected. */
+    /** The members that take part: itself, and all that are alive or only suspected. */
     public Set<Integer> liveMembers() {
         Set<Integer> live = new TreeSet<>();
-        membersById.values().stream()
-                .filter(member -> member.state == State.ALIVE || member.state == State.SUSPECT)
-                .forEach(member -> live.add(member.id));
+        for (FleetPeer member : membersById.values()) {
+            if (member.isLive()) {
+                live.add(member.id());
+            }
+        }
         return live;
     }
 
-    /** How many others take part. */
+    /** How many other members take part. */
     public int otherLiveCount() {
         int count = 0;
-        for (Member member : membersById.values()) {
-            count +=
-                    member.id != selfId
-                                    && (member.state == State.ALIVE
-                                            || member.state == State.SUSPECT)
-                            ? 1
-                            : 0;
+        for (FleetPeer member : membersById.values()) {
+            if (member.id() != selfId && member.isLive()) {
+                count++;
+            }
         }
         return count;
     }
 
-    /**
-     * Whether it is on the side of most of the governors that there may be; else it takes over
-     * nothing.
-     */
+    /** Whether most of the governors that there may be take part. */
     public boolean hasMajority() {
         return 2 * liveMembers().size() > membersById.size();
     }
 
-    /** It hears of nobody. */
+    /** Whether no other governor takes part. */
     public boolean isAlone() {
         return membersById.size() > 1 && liveMembers().size() <= 1;
     }
--- a/src/main/java/sprucelanding/control/membership/FleetMember.java
+++ b/src/main/java/sprucelanding/control/membership/FleetMember.java
@@ -1,59 +1,69 @@
 package sprucelanding.control.membership;
 
-import java.util.ArrayDeque;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.Map;
+import java.util.Locale;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.Set;
 
 /**
- * One governor's part in a shared fleet: whom it takes, whom it may write to, and what it tells the
- * others. It puts together Peers (who lives), Leases (who owns which proxy), Share (how many each
- * has) and Recall (what others know of the replicas). Call clock, then what happened, then decide
- * until it says false; ask until right before each write.
+ * One governor's part in a shared fleet: which proxies it accepts, which it may write to, and what
+ * it tells the others. It puts together {@link FailureDetector} (who lives), {@link Leases} (who
+ * owns which proxy), {@link ProxyQuota} (how many each has) and {@link EvidenceExchange} (what
+ * others know of the endpoints).
+ *
+ * <p>Call {@link #advanceTo}, then what happened, then {@link #decide} until it is false; ask for
+ * {@link #writeDeadline} right before each write. Times are ms on this governor's monotonic clock.
+ * Not safe for use by several threads.
  */
 public final class FleetMember {
-    /** What the host is told to do. */
+    /** Recipient of a message that goes to all other governors. */
+    public static final int ALL_PEERS = -1;
+
+    /** What the host is to do. */
     public interface Actions {
-        /** To another governor, or to all: -1. It may be lost. */
+        /**
+         * Sends a {@link PeerMessage}, which may be lost.
+         *
+         * @param recipient a governor, or {@link FleetMember#ALL_PEERS}
+         */
         void sendToPeers(int recipient, Object message);
 
-        /** Its orders may begin, or go on, under this epoch. */
+        /** Writes to the proxy may begin, or go on, under this epoch. */
         void allowWrites(long proxy, long epoch);
 
-        /** It was let in, and nothing may be written to it for now. */
+        /** Nothing may be written for now to a proxy that could be written to before. */
         void suspendWrites(long proxy);
 
         /**
-         * Its stream is to be ended, and left told once nothing more is written. Busy: it should
-         * dial another.
+         * The proxy's stream is to be ended, and {@link #onProxyDisconnected} to be called once
+         * nothing more is written.
+         *
+         * @param busy whether the proxy should connect to another governor
          */
         void endStream(long proxy, boolean busy, String reason);
 
+        /** To be taken into account as if own proxies had observed it. */
         void applyObservation(EvidenceExchange.EndpointObservation observation);
 
+        /** Something that operators want to know. */
         void logEvent(String text, Object... figures);
     }
 
-    private static final double MAX_GRANT_WAIT_MILLIS =
-            3000; // ms that a proxy waits for a majority's promise, until it is turned away
+    /** How long a proxy waits for a majority's grants until it is sent to another governor. */
+    private static final double MAX_GRANT_WAIT_MILLIS = 3000;
 
     private final FailureDetector failureDetector;
     private final Leases leases;
     private final ProxyQuota quota;
-    private final EvidenceExchange evidenceExchange;
-
-    /** Proxies that dialled and were not turned away; false once their stream is told to end. */
-    private final Map<Long, Boolean> streamOpenByProxy = new HashMap<>();
-
-    /**
-     * Those of them that no majority has promised yet, with when they dialled, the first one first.
-     */
-    private final LinkedHashMap<Long, Double> awaitingGrantSince = new LinkedHashMap<>();
+    private final Optional<EvidenceExchange> evidenceExchange;
+    private final ProxyStreams streams = new ProxyStreams();
+    private final PendingActions<Actions> pendingActions = new PendingActions<>();
+    private final ComponentActions componentActions = new ComponentActions();
+    private final PeerMessageHandler peerMessageHandler = new PeerMessageHandler();
 
-    private final ArrayDeque<Runnable> pendingActions = new ArrayDeque<>();
-    private final Map<Long, Integer> zonesOfWaitingProxies = new LinkedHashMap<>();
+    /** The host, as the latest call of decide gave it. */
     private Actions actions;
+
     private double now;
     private boolean servingWithoutMajority;
     private boolean draining;
@@ -61,7 +71,9 @@
     private long rejectedPackets;
 
     /**
-     * @param recall null: governors tell each other nothing of the replicas
+     * A member made of its parts, which are of one governor and one generation.
+     *
+     * @param evidenceExchange null if governors tell each other nothing of the endpoints
      */
     public FleetMember(
             FailureDetector failureDetector,
@@ -71,33 +83,32 @@
         this.failureDetector = failureDetector;
         this.leases = leases;
         this.quota = quota;
-        this.evidenceExchange = evidenceExchange;
+        this.evidenceExchange = Optional.ofNullable(evidenceExchange);
     }
 
+    /** Sets the clock, ms; a time before the present one changes nothing. */
     public void advanceTo(double time) {
         now = Math.max(now, time);
         failureDetector.advanceTo(time);
         leases.advanceTo(time);
         quota.advanceTo(time);
-        if (evidenceExchange != null) {
-            evidenceExchange.advanceTo(time);
-        }
+        evidenceExchange.ifPresent(exchange -> exchange.advanceTo(time));
     }
 
     /** A message of another governor arrived, as {@link PeerCodec} decoded it. */
     public void onPeerMessage(Object message) {
         if (message instanceof PeerMessage peerMessage) {
-            peerMessage.accept(peerMessageHandler);
+            peerMessage.deliverTo(peerMessageHandler);
         }
     }
 
-    /** A packet was refused: forged, cut off, of another version. */
+    /** A packet was rejected: forged, cut off or of another version. */
     public void onPacketRejected(String reason) {
         rejectedPackets++;
         if (Long.bitCount(rejectedPackets) == 1) { // the 1st, 2nd, 4th ...
             pendingActions.add(
-                    () ->
-                            actions.logEvent(
+                    host ->
+                            host.logEvent(
                                     "packets of governors are refused",
                                     "so far",
                                     rejectedPackets,
@@ -106,192 +117,199 @@
         }
     }
 
-    /** A proxy dialled, by its key. */
+    /**
+     * A proxy has connected.
+     *
+     * @param proxy its key
+     * @param zone its zone by position; -1 if it has none
+     */
     public void onProxyConnected(long proxy, int zone) {
-        boolean owner = streamOpenByProxy.containsKey(proxy) && leases.isOwner(proxy);
-        String reason =
-                owner
-                        ? null
-                        : leases.isServingWithoutMajority()
-                                ? "no majority of governors is heard: it takes no more"
-                                : quota.checkAdmission(proxy);
-        if (reason != null) {
-            pendingActions.add(() -> actions.endStream(proxy, true, reason));
-            return;
-        }
-        streamOpenByProxy.put(proxy, true);
-        awaitingGrantSince.remove(proxy);
-        if (owner) { // on a new stream it may go on at once: no other can have owned it meanwhile
+        if (streams.isConnected(proxy) && leases.isOwner(proxy)) {
+            // No other governor can have owned it meanwhile: it goes on at once.
+            streams.openOwned(proxy);
             leases.onProxyConnected(proxy);
             quota.onProxyConnected(proxy, zone);
-            pendingActions.add(() -> actions.allowWrites(proxy, leases.epochOf(proxy)));
-        } else {
-            leases.onProxyDisconnected(
-                    proxy); // another may have owned it since: it is claimed under a new epoch
-            awaitingGrantSince.put(proxy, now);
-            zonesOfWaitingProxies.put(proxy, zone);
+            pendingActions.add(host -> host.allowWrites(proxy, leases.epochOf(proxy)));
+            return;
+        }
+        AdmissionDecision decision = checkAdmission(proxy);
+        if (decision.rejectionReason().isPresent()) {
+            String reason = decision.rejectionReason().get();
+            pendingActions.add(host -> host.endStream(proxy, true, reason));
+            return;
         }
+        // Another governor may have owned it since: it is claimed under a new epoch.
+        leases.onProxyDisconnected(proxy);
+        streams.openUnowned(proxy, zone, now);
     }
 
-    /** Its stream has ended, and nothing more is written on it. */
+    private AdmissionDecision checkAdmission(long proxy) {
+        return leases.isServingWithoutMajority()
+                ? AdmissionDecision.rejected("no majority of governors is heard: it takes no more")
+                : quota.checkAdmission(proxy);
+    }
+
+    /** The proxy's stream has ended, and nothing more is written on it. */
     public void onProxyDisconnected(long proxy) {
-        zonesOfWaitingProxies.remove(proxy);
-        awaitingGrantSince.remove(proxy);
-        if (streamOpenByProxy.remove(proxy) != null) {
+        if (streams.remove(proxy)) {
             leases.onProxyDisconnected(proxy);
             quota.onProxyDisconnected(proxy);
         }
     }
 
-    /** What own proxies met at a replica. */
+    /** What own proxies observed at an endpoint; load is negative if it reported none. */
     public void recordOwnObservation(
             long endpoint, int attempts, int failedAttempts, double responseMillis, double load) {
-        if (evidenceExchange != null) {
-            evidenceExchange.recordOwnObservation(
-                    endpoint, attempts, failedAttempts, responseMillis, load);
-        }
+        evidenceExchange.ifPresent(
+                exchange ->
+                        exchange.recordOwnObservation(
+                                endpoint, attempts, failedAttempts, responseMillis, load));
     }
 
-    /** Planned: all proxies are sent on; done tells when none is left. */
+    /** This governor is to stop: it redirects all its proxies; see {@link #isDrained}. */
     public void startDrain() {
         draining = true;
         quota.startDrain();
     }
 
+    /** Whether it is to stop and no proxy is left. */
     public boolean isDrained() {
-        return draining && streamOpenByProxy.isEmpty();
+        return draining && streams.isEmpty();
     }
 
-    /**
-     * ms on the own clock until which a write to the proxy may leave; negative infinity: none may.
-     */
+    /** See {@link Leases#writeDeadline}. */
     public double writeDeadline(long proxy) {
         return leases.writeDeadline(proxy);
     }
 
+    /** How many proxies it claims, owned or not. */
     public int claimedCount() {
         return leases.claimedCount();
     }
 
+    /** How many proxies it may write to now. */
     public int ownedCount() {
         return leases.ownedCount();
     }
 
-    /** The highest epoch heard of: the next life must begin above it. */
+    /** The highest epoch heard of: its next generation must begin above it. */
     public long highestEpoch() {
         return leases.highestEpoch();
     }
 
+    /** The governors that live, itself among them. */
     public Set<Integer> liveMembers() {
         return failureDetector.liveMembers();
     }
 
+    /** Whether a majority of governors has answered within a lease. */
     public boolean hasMajority() {
         return leases.hasMajority();
     }
 
-    /** One decision; false if there is none now. */
-    public boolean decide(Actions output) {
-        actions = output;
-        Runnable firstAction = pendingActions.poll();
-        if (firstAction != null) {
-            firstAction.run();
-            return true;
-        }
-        if (failureDetector.decide(componentActions)) {
-            return true;
-        }
-        if (evidenceExchange != null && evidenceExchange.decide(componentActions)) {
-            return true;
+    /** Takes one decision; false if there is none to take now. */
+    public boolean decide(Actions host) {
+        actions = host;
+        return pendingActions.runNext(host)
+                || failureDetector.decide(componentActions)
+                || evidenceExchange.isPresent() && evidenceExchange.get().decide(componentActions)
+                || claimNextProxy()
+                || decideOwnership()
+                || logMajorityChange()
+                || announceLeave()
+                || rejectLongestWaiting();
+    }
+
+    /** Claims a proxy that was accepted, once what others know is taken into account. */
+    private boolean claimNextProxy() {
+        if (evidenceExchange.isPresent() && !evidenceExchange.get().isCaughtUp()) {
+            return false;
         }
-        if (!zonesOfWaitingProxies.isEmpty()
-                && (evidenceExchange == null || evidenceExchange.isCaughtUp())) {
-            long proxy = zonesOfWaitingProxies.keySet().iterator().next();
-            int zone = zonesOfWaitingProxies.remove(proxy);
-            leases.onProxyConnected(proxy);
-            quota.onProxyConnected(proxy, zone);
-            return true;
+        Optional<ProxyStreams.UnclaimedProxy> unclaimed = streams.takeUnclaimed();
+        if (unclaimed.isEmpty()) {
+            return false;
         }
-        quota.others(failureDetector.otherLiveCount());
+        leases.onProxyConnected(unclaimed.get().proxy());
+        quota.onProxyConnected(unclaimed.get().proxy(), unclaimed.get().zone());
+        return true;
+    }
+
+    private boolean decideOwnership() {
+        quota.updateOtherLiveCount(failureDetector.otherLiveCount());
         leases.updateOwnLoad(quota.load());
-        if (leases.decide(componentActions) || quota.decide(componentActions)) {
-            return true;
-        }
-        if (servingWithoutMajority != leases.isServingWithoutMajority()) {
-            servingWithoutMajority = !servingWithoutMajority;
-            output.logEvent(
-                    servingWithoutMajority
-                            ? "no majority of governors is heard: it goes on with what it has, and takes no more"
-                            : "a majority of governors is heard",
-                    "lives",
-                    failureDetector.liveMembers().size(),
-                    "proxies",
-                    leases.claimedCount());
-            return true;
-        }
-        if (draining && streamOpenByProxy.isEmpty() && !leaveAnnounced) {
-            leaveAnnounced = true;
-            failureDetector.announceLeave();
-            return true;
-        }
-        return rejectLongestWaiting();
+        return leases.decide(componentActions) || quota.decide(componentActions);
     }
 
-    private void endStream(long proxy, boolean busy, String reason) {
-        awaitingGrantSince.remove(proxy);
-        if (streamOpenByProxy.replace(proxy, true, false)) {
-            actions.endStream(proxy, busy, reason);
+    private boolean logMajorityChange() {
+        if (servingWithoutMajority == leases.isServingWithoutMajority()) {
+            return false;
         }
+        servingWithoutMajority = !servingWithoutMajority;
+        actions.logEvent(
+                servingWithoutMajority
+                        ? "no majority of governors is heard: it goes on with what it has, and takes no more"
+                        : "a majority of governors is heard",
+                "lives",
+                failureDetector.liveMembers().size(),
+                "proxies",
+                leases.claimedCount());
+        return true;
     }
 
-    /** Who waits too long for a majority's promise goes to another, who may have it. */
-    private boolean rejectLongestWaiting() {
-        if (awaitingGrantSince.isEmpty()) {
+    private boolean announceLeave() {
+        if (!isDrained() || leaveAnnounced) {
             return false;
         }
-        Map.Entry<Long, Double> longestWaiting = awaitingGrantSince.entrySet().iterator().next();
-        if (now - longestWaiting.getValue() <= MAX_GRANT_WAIT_MILLIS) {
+        leaveAnnounced = true;
+        failureDetector.announceLeave();
+        return true;
+    }
+
+    /** A proxy that waits too long for a majority's grants goes to another, which may have it. */
+    private boolean rejectLongestWaiting() {
+        OptionalLong waiting = streams.waitingLongerThan(MAX_GRANT_WAIT_MILLIS, now);
+        if (waiting.isEmpty()) {
             return false;
         }
-        endStream(longestWaiting.getKey(), true, "no majority of governors has promised it here");
+        endStream(waiting.getAsLong(), true, "no majority of governors has promised it here");
         return true;
     }
 
-    private final PeerMessageHandler peerMessageHandler = new PeerMessageHandler();
+    private void endStream(long proxy, boolean busy, String reason) {
+        if (streams.beginEnd(proxy)) {
+            actions.endStream(proxy, busy, reason);
+        }
+    }
 
     /** Hands each kind of message to the part that it is for. */
-    private final class PeerMessageHandler implements PeerMessage.Visitor {
+    private final class PeerMessageHandler implements PeerMessage.Handler {
         @Override
-        public void visitHeartbeat(Heartbeat heartbeat) {
+        public void handleHeartbeat(Heartbeat heartbeat) {
             failureDetector.onHeartbeat(heartbeat);
         }
 
         @Override
-        public void visitLeaseRequest(LeaseRequest request) {
+        public void handleLeaseRequest(LeaseRequest request) {
             leases.onRequest(request);
         }
 
         @Override
-        public void visitGrant(Grant grant) {
+        public void handleGrant(Grant grant) {
             leases.onGrant(grant);
         }
 
         @Override
-        public void visitRelease(Release release) {
+        public void handleRelease(Release release) {
             leases.onRelease(release);
         }
 
         @Override
-        public void visitEvidence(Evidence evidence) {
-            if (evidenceExchange != null) {
-                evidenceExchange.onEvidence(evidence);
-            }
+        public void handleEvidence(Evidence evidence) {
+            evidenceExchange.ifPresent(exchange -> exchange.onEvidence(evidence));
         }
     }
 
-    private final ComponentActions componentActions = new ComponentActions();
-
-    /** What its parts decide. */
+    /** Carries out what the parts decide. */
     private final class ComponentActions
             implements FailureDetector.Actions,
                     Leases.Actions,
@@ -299,27 +317,25 @@
                     EvidenceExchange.Actions {
         @Override
         public void sendHeartbeat(Heartbeat heartbeat) {
-            actions.sendToPeers(-1, heartbeat);
+            actions.sendToPeers(ALL_PEERS, heartbeat);
         }
 
         @Override
         public void onStateChanged(int id, FailureDetector.State state) {
             actions.logEvent(
-                    "a governor is held for " + state.name().toLowerCase(java.util.Locale.ROOT),
+                    "a governor is held for " + state.name().toLowerCase(Locale.ROOT),
                     "governor",
                     id,
                     "lives",
                     failureDetector.liveMembers().size());
-            if (evidenceExchange != null
-                    && (state == FailureDetector.State.DEAD
-                            || state == FailureDetector.State.LEFT)) {
-                evidenceExchange.onGovernorLost(id);
+            if (state == FailureDetector.State.DEAD || state == FailureDetector.State.LEFT) {
+                evidenceExchange.ifPresent(exchange -> exchange.onGovernorLost(id));
             }
         }
 
         @Override
         public void sendRequest(LeaseRequest request) {
-            actions.sendToPeers(-1, request);
+            actions.sendToPeers(ALL_PEERS, request);
         }
 
         @Override
@@ -329,13 +345,12 @@
 
         @Override
         public void sendRelease(Release release) {
-            actions.sendToPeers(-1, release);
+            actions.sendToPeers(ALL_PEERS, release);
         }
 
         @Override
         public void onAcquired(long proxy, long epoch) {
-            if (streamOpenByProxy.containsKey(proxy)) {
-                awaitingGrantSince.remove(proxy);
+            if (streams.onGranted(proxy)) {
                 actions.allowWrites(proxy, epoch);
             }
         }
@@ -351,8 +366,8 @@
         }
 
         @Override
-        public void onSuperseded(long proxy, int recipient) {
-            endStream(proxy, false, "it is on a newer stream at governor " + recipient);
+        public void onSuperseded(long proxy, int newOwner) {
+            endStream(proxy, false, "it is on a newer stream at governor " + newOwner);
         }
 
         @Override
@@ -362,7 +377,7 @@
 
         @Override
         public void sendEvidence(Evidence evidence) {
-            actions.sendToPeers(-1, evidence);
+            actions.sendToPeers(ALL_PEERS, evidence);
         }
 
         @Override
--- a/src/main/java/sprucelanding/control/membership/Grant.java
+++ b/src/main/java/sprucelanding/control/membership/Grant.java
@@ -26,7 +26,7 @@
         List<Claim> rejected)
         implements PeerMessage {
     @Override
-    public void accept(Visitor visitor) {
-        visitor.visitGrant(this);
+    public void deliverTo(Handler handler) {
+        handler.handleGrant(this);
     }
 }
--- a/src/main/java/sprucelanding/control/membership/Heartbeat.java
+++ b/src/main/java/sprucelanding/control/membership/Heartbeat.java
@@ -10,7 +10,7 @@
  */
 public record Heartbeat(int sender, List<MemberState> view) implements PeerMessage {
     @Override
-    public void accept(Visitor visitor) {
-        visitor.visitHeartbeat(this);
+    public void deliverTo(Handler handler) {
+        handler.handleHeartbeat(this);
     }
 }
--- a/src/main/java/sprucelanding/control/membership/LeaseRequest.java
+++ b/src/main/java/sprucelanding/control/membership/LeaseRequest.java
@@ -21,7 +21,7 @@
         List<Claim> claims)
         implements PeerMessage {
     @Override
-    public void accept(Visitor visitor) {
-        visitor.visitLeaseRequest(this);
+    public void deliverTo(Handler handler) {
+        handler.handleLeaseRequest(this);
     }
 }
--- a/src/main/java/sprucelanding/control/membership/PeerCodec.java
+++ b/src/main/java/sprucelanding/control/membership/PeerCodec.java
@@ -78,7 +78,7 @@
      */
     public byte[] encode(PeerMessage message) {
         ByteBuffer out = ByteBuffer.allocate(BUFFER_BYTES).put(VERSION);
-        message.accept(new PeerMessageEncoder(out));
+        message.deliverTo(new PeerMessageEncoder(out));
         byte[] content = Arrays.copyOf(out.array(), out.position());
         if (content.length + MAC_BYTES > MAX_PACKET_BYTES) {
             throw new IllegalArgumentException("a message of " + content.length + " bytes");
--- a/src/main/java/sprucelanding/control/membership/PeerMessage.java
+++ b/src/main/java/sprucelanding/control/membership/PeerMessage.java
@@ -5,24 +5,24 @@
  * delayed or doubled on its way.
  */
 public sealed interface PeerMessage permits Heartbeat, LeaseRequest, Grant, Release, Evidence {
-    /** Calls the method of the visitor that is for this kind of message. */
-    void accept(Visitor visitor);
+    /** Calls the method of the handler that is for this kind of message. */
+    void deliverTo(Handler handler);
 
     /** One method for each kind of message. */
-    interface Visitor {
+    interface Handler {
         /** A member lives, and tells what it knows of others. */
-        void visitHeartbeat(Heartbeat heartbeat);
+        void handleHeartbeat(Heartbeat heartbeat);
 
         /** A governor renews its session and claims proxies. */
-        void visitLeaseRequest(LeaseRequest request);
+        void handleLeaseRequest(LeaseRequest request);
 
         /** A voter answers a lease request. */
-        void visitGrant(Grant grant);
+        void handleGrant(Grant grant);
 
         /** A governor gives proxies up. */
-        void visitRelease(Release release);
+        void handleRelease(Release release);
 
         /** A governor tells what its proxies observed at the endpoints. */
-        void visitEvidence(Evidence evidence);
+        void handleEvidence(Evidence evidence);
     }
 }
--- a/src/main/java/sprucelanding/control/membership/PeerMessageEncoder.java
+++ b/src/main/java/sprucelanding/control/membership/PeerMessageEncoder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Writes one message, its kind first, to a buffer. Numbers are big-endian. */
-final class PeerMessageEncoder implements PeerMessage.Visitor {
+final class PeerMessageEncoder implements PeerMessage.Handler {
     private final ByteBuffer out;
 
     PeerMessageEncoder(ByteBuffer out) {
@@ -12,7 +12,7 @@
     }
 
     @Override
-    public void visitHeartbeat(Heartbeat heartbeat) {
+    public void handleHeartbeat(Heartbeat heartbeat) {
         out.put(MessageKind.HEARTBEAT.code());
         out.put((byte) heartbeat.sender());
         out.put((byte) heartbeat.view().size());
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public void visitLeaseRequest(LeaseRequest request) {
+    public void handleLeaseRequest(LeaseRequest request) {
         out.put(MessageKind.LEASE_REQUEST.code());
         out.put((byte) request.sender());
         out.putLong(request.generation());
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void visitGrant(Grant grant) {
+    public void handleGrant(Grant grant) {
         out.put(MessageKind.GRANT.code());
         out.put((byte) grant.voter());
         out.putLong(grant.voterGeneration());
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void visitRelease(Release release) {
+    public void handleRelease(Release release) {
         out.put(MessageKind.RELEASE.code());
         out.put((byte) release.sender());
         out.putLong(release.generation());
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void visitEvidence(Evidence evidence) {
+    public void handleEvidence(Evidence evidence) {
         out.put(MessageKind.EVIDENCE.code());
         out.put((byte) evidence.sender());
         out.putLong(evidence.generation());
--- a/src/main/java/sprucelanding/control/membership/ProxyQuota.java
+++ b/src/main/java/sprucelanding/control/membership/ProxyQuota.java
@@ -4,41 +4,64 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.stream.IntStream;
 
 /**
- * How many proxies a governor should have, and which it turns away or sends on. A proxy dials whom
- * it likes; it is turned away only by a governor that has more than its part while another has
- * room, and not twice: who knocks again found nobody else. Nobody is moved while there is little to
- * move, and never many at a time. Call clock and others, then admits for each that dials, in and
- * out for each that came and went, and decide until it says false.
+ * How many proxies a governor should have, which it rejects and which it redirects. A proxy
+ * connects to whichever governor it likes. It is rejected only by a governor that has much more
+ * than its quota while another has room, and not twice: a proxy that comes again found no other
+ * governor. Proxies are redirected only while there are many, and a few at a time.
+ *
+ * <p>Call {@link #advanceTo} and {@link #updateOtherLiveCount}, then {@link #checkAdmission} for
+ * each proxy that connects, {@link #onProxyConnected} and {@link #onProxyDisconnected} for each
+ * that came and went, and {@link #decide} until it is false. Not safe for use by several threads.
  */
 public final class ProxyQuota {
+    /** What the host is to do. */
     public interface Actions {
-        /** Its stream is to be ended: it dials another. */
+        /** The proxy's stream is to be ended, so that it connects to another governor. */
         void redirectProxy(long proxy, String reason);
     }
 
-    private record ConnectedProxy(int zone, double connectedAt, long order) {}
+    /** What proxies are redirected for. */
+    private enum Mode {
+        /** To even out the load of governors: some of the proxies past the quota. */
+        REBALANCING,
+        /** Because this governor stops: all of them. */
+        DRAINING
+    }
+
+    private record ConnectedProxy(long key, int zone, double connectedAt, long order) {}
+
+    /** Multiple of the quota past which proxies are redirected. */
+    private static final double REDIRECT_OVERLOAD_FACTOR = 1.25;
+
+    /** Multiple of the quota past which proxies that connect are rejected. */
+    private static final double REJECT_OVERLOAD_FACTOR = 2;
+
+    /** Fraction of the capacity up to which no proxy is rejected or redirected. */
+    private static final double MIN_CAPACITY_FRACTION = 0.5;
+
+    /** How long no proxy is redirected for the load after a governor came or went. */
+    private static final double STABLE_MEMBERSHIP_MILLIS = 3000;
+
+    /** The least time between two redirects; more while proxies only come back. */
+    private static final double REDIRECT_INTERVAL_MILLIS = 250;
 
-    private static final double REDIRECT_OVERLOAD_FACTOR =
-            1.25; // of its part, past which it sends proxies on
-    private static final double REJECT_OVERLOAD_FACTOR = 2; // past which it turns away who dials
-    private static final double MIN_CAPACITY_FRACTION =
-            0.5; // of what it was made for, below which nobody is moved
-    private static final double STABLE_MEMBERSHIP_MILLIS =
-            3000; // ms after a governor came or went, until proxies are moved for it
-    private static final double REDIRECT_INTERVAL_MILLIS =
-            250; // ms between two that are sent on; more while they only come round again
     private static final double MAX_REDIRECT_INTERVAL_MILLIS = 60_000;
-    private static final double MIN_STAY_MILLIS =
-            10_000; // ms after its coming in which a proxy is not sent on
+
+    /** How long a proxy stays at least before it is redirected for the load. */
+    private static final double MIN_STAY_MILLIS = 10_000;
+
     private static final double MAX_DRAIN_INTERVAL_MILLIS = 20;
-    private static final double DRAIN_MILLIS =
-            2000; // ms in which all of them are sent on by one that stops
-    private static final double RECONNECT_WINDOW_MILLIS =
-            10_000; // ms in which a second knock is let in
+
+    /** Time in which a governor that stops redirects all its proxies. */
+    private static final double DRAIN_MILLIS = 2000;
+
+    /** Time in which a rejected proxy that comes again is accepted. */
+    private static final double RECONNECT_WINDOW_MILLIS = 10_000;
+
     private static final int MAX_REJECTED_PROXIES = 65_536;
 
     private final int selfId;
@@ -53,12 +76,17 @@
     private double now;
     private double redirectIntervalMillis = REDIRECT_INTERVAL_MILLIS;
     private long nextOrder;
-    private int drainStartCount = -1;
+    private Mode mode = Mode.REBALANCING;
+    private double drainIntervalMillis = MAX_DRAIN_INTERVAL_MILLIS;
 
     /**
-     * @param leases tells what the others said of their loads
-     * @param room proxies that it was made for
-     * @param zone its own, by position; -1 if it has none
+     * The quota of one governor.
+     *
+     * @param selfId this governor
+     * @param leases knows what the other governors reported of their load
+     * @param capacity proxies that this governor is configured for
+     * @param zone its zone, by position; -1 if it has none
+     * @param now ms on its clock
      */
     public ProxyQuota(int selfId, Leases leases, int capacity, int zone, double now) {
         this.selfId = selfId;
@@ -69,12 +97,13 @@
         this.membershipChangedAt = now;
     }
 
+    /** Sets the clock, ms; a time before the present one changes nothing. */
     public void advanceTo(double time) {
         now = Math.max(now, time);
     }
 
-    /** How many others live. */
-    public void others(int count) {
+    /** How many other governors live. */
+    public void updateOtherLiveCount(int count) {
         if (count != otherLiveCount) {
             otherLiveCount = count;
             membershipChangedAt = now;
@@ -82,57 +111,66 @@
         }
     }
 
-    /** It stops: all are sent on, a few at a time. */
+    /** This governor stops: all its proxies are redirected, a few at a time. */
     public void startDrain() {
-        drainStartCount = Math.max(1, proxiesByKey.size());
+        mode = Mode.DRAINING;
+        int proxyCount = Math.max(1, proxiesByKey.size());
+        drainIntervalMillis = Math.min(MAX_DRAIN_INTERVAL_MILLIS, DRAIN_MILLIS / proxyCount);
     }
 
+    /** What this governor has, as it tells the others. */
     public GovernorLoad load() {
         return new GovernorLoad(proxiesByKey.size(), capacity, zone);
     }
 
+    /** A proxy was accepted. */
     public void onProxyConnected(long proxy, int proxyZone) {
-        if (proxiesByKey.putIfAbsent(proxy, new ConnectedProxy(proxyZone, now, nextOrder++)) == null
-                && now - lastRedirectAt < RECONNECT_WINDOW_MILLIS) {
+        ConnectedProxy connected = new ConnectedProxy(proxy, proxyZone, now, nextOrder);
+        nextOrder++;
+        boolean added = proxiesByKey.putIfAbsent(proxy, connected) == null;
+        if (added && now - lastRedirectAt < RECONNECT_WINDOW_MILLIS) {
+            // Others redirect theirs to here, or those redirected cannot reach another governor.
             redirectIntervalMillis =
-                    Math.min(
-                            MAX_REDIRECT_INTERVAL_MILLIS,
-                            2 * redirectIntervalMillis); // others send theirs here, or those
-            // sent on find no
-            // way there
+                    Math.min(MAX_REDIRECT_INTERVAL_MILLIS, 2 * redirectIntervalMillis);
         }
     }
 
+    /** A proxy's stream has ended. */
     public void onProxyDisconnected(long proxy) {
         proxiesByKey.remove(proxy);
     }
 
-    /** Null if a proxy that dials is to be taken; else why not. */
-    public String checkAdmission(long proxy) {
+    /** Whether a proxy that connects is to be accepted. */
+    public AdmissionDecision checkAdmission(long proxy) {
         if (proxiesByKey.containsKey(proxy)) {
-            return null;
+            return AdmissionDecision.accepted();
         }
-        if (drainStartCount >= 0) {
-            return "this governor stops";
+        if (mode == Mode.DRAINING) {
+            return AdmissionDecision.rejected("this governor stops");
         }
         Double rejectedAt = rejectedAtByProxy.remove(proxy);
-        if (rejectedAt != null && now - rejectedAt < RECONNECT_WINDOW_MILLIS
-                || !isOverQuota(proxiesByKey.size() + 1, REJECT_OVERLOAD_FACTOR)) {
-            return null;
+        boolean comesAgain = rejectedAt != null && now - rejectedAt < RECONNECT_WINDOW_MILLIS;
+        if (comesAgain || !isOverQuota(proxiesByKey.size() + 1, REJECT_OVERLOAD_FACTOR)) {
+            return AdmissionDecision.accepted();
         }
         rejectedAtByProxy.put(proxy, now);
         if (rejectedAtByProxy.size() > MAX_REJECTED_PROXIES) {
             rejectedAtByProxy.remove(rejectedAtByProxy.keySet().iterator().next());
         }
-        return "others have more room than its " + proxiesByKey.size() + " proxies leave here";
+        return AdmissionDecision.rejected(
+                "others have more room than its " + proxiesByKey.size() + " proxies leave here");
     }
 
-    /** Whether so many are more than its part, and another has less than its own. */
+    /**
+     * Whether a number of proxies is more than a multiple of this governor's quota while another
+     * governor has less than its own. The quota is the part of all proxies that is in proportion to
+     * the capacity.
+     */
     private boolean isOverQuota(int count, double factor) {
         if (count <= MIN_CAPACITY_FRACTION * capacity) {
             return false;
         }
-        List<GovernorLoad> others = others();
+        List<GovernorLoad> others = otherLoads();
         double totalCapacity = capacity + others.stream().mapToDouble(GovernorLoad::capacity).sum();
         double totalStreams = count + others.stream().mapToDouble(GovernorLoad::streams).sum();
         boolean otherHasRoom =
@@ -144,72 +182,70 @@
         return otherHasRoom && count > Math.ceil(factor * totalStreams * capacity / totalCapacity);
     }
 
-    /** What those of the others said that were heard of late. */
-    private List<GovernorLoad> others() {
+    /** What those of the others reported that were heard of late. */
+    private List<GovernorLoad> otherLoads() {
         return IntStream.range(0, FailureDetector.MAX_GOVERNORS)
                 .filter(governor -> governor != selfId)
                 .mapToObj(leases::reportedLoad)
-                .filter(Objects::nonNull)
+                .flatMap(Optional::stream)
                 .toList();
     }
 
-    /** One decision; false if there is none now. */
+    /** Takes one decision; false if there is none to take now. */
     public boolean decide(Actions actions) {
-        double intervalMillis =
-                drainStartCount < 0
-                        ? redirectIntervalMillis
-                        : Math.min(MAX_DRAIN_INTERVAL_MILLIS, DRAIN_MILLIS / drainStartCount);
+        boolean draining = mode == Mode.DRAINING;
+        double intervalMillis = draining ? drainIntervalMillis : redirectIntervalMillis;
         if (proxiesByKey.isEmpty() || now - lastRedirectAt < intervalMillis) {
             return false;
         }
-        boolean overQuota =
-                otherLiveCount > 0
-                        && now - membershipChangedAt > STABLE_MEMBERSHIP_MILLIS
-                        && isOverQuota(proxiesByKey.size(), REDIRECT_OVERLOAD_FACTOR);
-        if (drainStartCount < 0 && !overQuota) {
+        if (!draining && !isRebalancingDue()) {
+            return false;
+        }
+        Optional<ConnectedProxy> chosen = chooseProxyToRedirect();
+        if (chosen.isEmpty()) {
             return false;
         }
-        Map<Integer, Boolean> zonesWithGovernor = new HashMap<>();
-        long chosenProxy = 0;
+        lastRedirectAt =
+                draining ? Math.max(now - intervalMillis, lastRedirectAt + intervalMillis) : now;
+        proxiesByKey.remove(chosen.get().key());
+        actions.redirectProxy(
+                chosen.get().key(), draining ? "this governor stops" : "others have more room");
+        return true;
+    }
+
+    private boolean isRebalancingDue() {
+        return otherLiveCount > 0
+                && now - membershipChangedAt > STABLE_MEMBERSHIP_MILLIS
+                && isOverQuota(proxiesByKey.size(), REDIRECT_OVERLOAD_FACTOR);
+    }
+
+    /**
+     * One whose own zone has another governor if there is such a one, else the latest that came.
+     */
+    private Optional<ConnectedProxy> chooseProxyToRedirect() {
+        Map<Integer, Boolean> governorByZone = new HashMap<>();
         ConnectedProxy chosen = null;
-        for (Map.Entry<Long, ConnectedProxy> entry :
-                proxiesByKey
-                        .entrySet()) { // one that has a governor at home, else the one that came
-            // last
-            ConnectedProxy candidate = entry.getValue();
-            if (drainStartCount < 0 && now - candidate.connectedAt < MIN_STAY_MILLIS) {
+        boolean chosenHasHomeGovernor = false;
+        for (ConnectedProxy candidate : proxiesByKey.values()) {
+            if (mode == Mode.REBALANCING && now - candidate.connectedAt < MIN_STAY_MILLIS) {
                 continue;
             }
             boolean hasHomeGovernor =
                     zone >= 0
                             && candidate.zone != zone
-                            && zonesWithGovernor.computeIfAbsent(
+                            && governorByZone.computeIfAbsent(
                                     candidate.zone, this::hasGovernorInZone);
-            boolean chosenHasHomeGovernor =
-                    chosen != null
-                            && chosen.zone != zone
-                            && zonesWithGovernor.getOrDefault(chosen.zone, false);
             if (chosen == null
                     || hasHomeGovernor && !chosenHasHomeGovernor
                     || hasHomeGovernor == chosenHasHomeGovernor && candidate.order > chosen.order) {
                 chosen = candidate;
-                chosenProxy = entry.getKey();
+                chosenHasHomeGovernor = hasHomeGovernor;
             }
         }
-        if (chosen == null) {
-            return false;
-        }
-        lastRedirectAt =
-                drainStartCount < 0
-                        ? now
-                        : Math.max(now - intervalMillis, lastRedirectAt + intervalMillis);
-        proxiesByKey.remove(chosenProxy);
-        actions.redirectProxy(
-                chosenProxy, drainStartCount < 0 ? "others have more room" : "this governor stops");
-        return true;
+        return Optional.ofNullable(chosen);
     }
 
     private boolean hasGovernorInZone(int zoneIndex) {
-        return others().stream().anyMatch(load -> load.zone() == zoneIndex);
+        return otherLoads().stream().anyMatch(load -> load.zone() == zoneIndex);
     }
 }
--- a/src/main/java/sprucelanding/control/membership/Release.java
+++ b/src/main/java/sprucelanding/control/membership/Release.java
@@ -11,7 +11,7 @@
  */
 public record Release(int sender, long generation, List<Claim> claims) implements PeerMessage {
     @Override
-    public void accept(Visitor visitor) {
-        visitor.visitRelease(this);
+    public void deliverTo(Handler handler) {
+        handler.handleRelease(this);
     }
 }
--- a/src/test/java/sprucelanding/control/membership/FleetSafetyTest.java
+++ b/src/test/java/sprucelanding/control/membership/FleetSafetyTest.java
@@ -17,41 +17,63 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One voice for each proxy, whatever is killed, stopped, cut or lost; and every proxy owned again
- * once it is over.
+ * One writer for each proxy, whatever is killed, paused, cut or lost; and every proxy owned again
+ * once the faults are over.
  */
 class FleetSafetyTest {
     private static final double SAFE_QUARANTINE_MILLIS =
             FleetSimulation.LEASE_MILLIS * (1 + FleetSimulation.MAX_CLOCK_DRIFT);
 
+    /** What can happen to governors; their order is that of the numbers which are drawn. */
+    private enum FaultKind {
+        KILL,
+        START,
+        PAUSE,
+        CUT_LINK,
+        RESTORE_LINK,
+        TOGGLE_LOSS,
+        ISOLATE,
+        KILL_ALL,
+        START_ALL,
+        CUT_FROM_PROXIES,
+        RESTORE_PROXIES,
+        TOGGLE_WALL_CLOCK_JUMP,
+        DRAIN
+    }
+
     /** One thing that happens to governors, so long before the next. */
-    record FaultEvent(int kind, int node, int other, int durationMillis) {
+    record FaultEvent(int kindIndex, int node, int other, int durationMillis) {
+        private FaultKind kind() {
+            return FaultKind.values()[kindIndex];
+        }
+
         void apply(FleetSimulation fleet) {
             int governorCount = fleet.nodes.size();
             int target = node % governorCount;
             int peer = other % governorCount;
-            switch (kind) {
-                case 0 -> fleet.kill(target);
-                case 1 -> fleet.nodes.get(target).start();
-                case 2 -> fleet.pause(target, 200 + durationMillis * 2);
-                case 3 -> fleet.setLinkCut(target, peer, true);
-                case 4 -> fleet.setLinkCut(target, peer, false);
-                case 5 -> fleet.lossProbability = fleet.lossProbability > 0 ? 0 : 0.4;
-                case 6 -> fleet.isolate(target, true);
-                case 7 -> fleet.nodes.forEach(governor -> fleet.kill(governor.id));
-                case 8 -> fleet.nodes.forEach(FleetSimulation.Node::start);
-                case 9 -> fleet.setCutFromProxies(target, true);
-                case 10 -> fleet.setCutFromProxies(target, false);
-                case 11 ->
+            switch (kind()) {
+                case KILL -> fleet.kill(target);
+                case START -> fleet.nodes.get(target).start();
+                case PAUSE -> fleet.pause(target, 200 + durationMillis * 2);
+                case CUT_LINK -> fleet.setLinkCut(target, peer, true);
+                case RESTORE_LINK -> fleet.setLinkCut(target, peer, false);
+                case TOGGLE_LOSS -> fleet.lossProbability = fleet.lossProbability > 0 ? 0 : 0.4;
+                case ISOLATE -> fleet.isolate(target, true);
+                case KILL_ALL -> fleet.nodes.forEach(governor -> fleet.kill(governor.id));
+                case START_ALL -> fleet.nodes.forEach(FleetSimulation.Node::start);
+                case CUT_FROM_PROXIES -> fleet.setCutFromProxies(target, true);
+                case RESTORE_PROXIES -> fleet.setCutFromProxies(target, false);
+                case TOGGLE_WALL_CLOCK_JUMP ->
                         fleet.wallClockJumpMillis =
                                 fleet.wallClockJumpMillis > 0
                                         ? 0
                                         : 60_000; // of a process that starts next
-                default -> {
+                case DRAIN -> {
                     if (fleet.nodes.get(target).isRunning()) {
                         fleet.nodes.get(target).member.startDrain();
                     }
                 }
+                default -> throw new IllegalStateException("an unknown kind " + kindIndex);
             }
             fleet.runFor(durationMillis);
         }
@@ -86,7 +108,7 @@
                             fleet.kill(governor.id);
                             governor.start();
                         });
-        boolean leaving = history.stream().anyMatch(event -> event.kind == 12);
+        boolean leaving = history.stream().anyMatch(event -> event.kind() == FaultKind.DRAIN);
         fleet.runFor(14_000);
         assertEquals(List.of(), fleet.violations, () -> String.join("\n", fleet.eventLog));
         assertTrue(
@@ -292,70 +314,6 @@
         assertEquals(List.of(), fleet.violations); // an epoch that goes back is a fault
     }
 
-    @Test
-    void staleRequestsAndGrantsOfEarlierGenerationAreIgnored() {
-        Leases voter = new Leases(0, 1000, 3, 1500, 0.02, 0, 0);
-        List<Grant> grants = new ArrayList<>();
-        GrantCollector collector = new GrantCollector(grants);
-        GovernorLoad load = new GovernorLoad(1, 1, 0);
-        voter.onRequest(new LeaseRequest(1, 2000, 5, 0, load, List.of(new Claim(9, 2001))));
-        voter.onRequest(new LeaseRequest(1, 2000, 4, 0, load, List.of(new Claim(8, 2001))));
-        voter.onRequest(new LeaseRequest(1, 1500, 9, 0, load, List.of(new Claim(7, 2001))));
-        while (voter.decide(collector)) {
-            continue;
-        }
-        assertEquals(
-                List.of(List.of(new Claim(9, 2001))), grants.stream().map(Grant::granted).toList());
-        Leases requester = new Leases(1, 2000, 3, 1500, 0.02, 0, 0);
-        requester.onProxyConnected(9);
-        requester.onGrant(
-                new Grant(
-                        0,
-                        1000,
-                        1,
-                        1,
-                        1999,
-                        0,
-                        List.of(new Claim(9, 2001)),
-                        List.of())); // another life
-        requester.onGrant(
-                new Grant(
-                        0,
-                        1000,
-                        1,
-                        1,
-                        2000,
-                        500,
-                        List.of(new Claim(9, 2001)),
-                        List.of())); // from ahead
-        assertFalse(requester.isOwner(9) || requester.hasMajority());
-    }
-
-    private record GrantCollector(List<Grant> grants) implements Leases.Actions {
-        @Override
-        public void sendRequest(LeaseRequest request) {}
-
-        @Override
-        public void sendGrant(Grant grant) {
-            grants.add(grant);
-        }
-
-        @Override
-        public void sendRelease(Release release) {}
-
-        @Override
-        public void onAcquired(long proxy, long epoch) {}
-
-        @Override
-        public void onLapsed(long proxy) {}
-
-        @Override
-        public void onRetained(long proxy) {}
-
-        @Override
-        public void onSuperseded(long proxy, int newHolder) {}
-    }
-
     @Test
     void governorHeardIndirectlyStaysAlive() {
         FleetSimulation fleet = new FleetSimulation(3, 3, 5, SAFE_QUARANTINE_MILLIS);
@@ -366,68 +324,4 @@
         assertEquals(FailureDetector.State.ALIVE, fleet.nodes.get(1).failureDetector.state(0));
         assertEquals(0, fleet.unownedCount());
     }
-
-    @Test
-    void heartbeatsOfEarlierGenerationAndUnknownGovernorsAreIgnored() {
-        FailureDetector detector = new FailureDetector(0, 1000, Set.of(0, 1), 100, 500, 500);
-        detector.advanceTo(0);
-        assertTrue(
-                detector.onHeartbeat(
-                        new Heartbeat(
-                                1,
-                                List.of(
-                                        new MemberState(
-                                                1, 2000, 0, 5, FailureDetector.State.ALIVE)))));
-        assertFalse(
-                detector.onHeartbeat(
-                        new Heartbeat(
-                                1,
-                                List.of(
-                                        new MemberState(
-                                                1, 1500, 9, 99, FailureDetector.State.LEFT)))));
-        assertFalse(
-                detector.onHeartbeat(
-                        new Heartbeat(
-                                7,
-                                List.of(
-                                        new MemberState(
-                                                7, 2000, 0, 5, FailureDetector.State.ALIVE)))));
-        assertFalse(
-                detector.onHeartbeat(
-                        new Heartbeat(
-                                0,
-                                List.of(
-                                        new MemberState(
-                                                0, 9000, 0, 5, FailureDetector.State.ALIVE)))));
-        assertEquals(FailureDetector.State.ALIVE, detector.state(1));
-    }
-
-    @Test
-    void governorDeclaredDeadRefutesWithHigherIncarnation() {
-        FailureDetector detector = new FailureDetector(0, 1000, Set.of(0, 1), 100, 500, 500);
-        detector.advanceTo(0);
-        detector.onHeartbeat(
-                new Heartbeat(
-                        1,
-                        List.of(
-                                new MemberState(1, 2000, 0, 5, FailureDetector.State.ALIVE),
-                                new MemberState(0, 1000, 0, 3, FailureDetector.State.DEAD))));
-        List<Heartbeat> heartbeats = new ArrayList<>();
-        FailureDetector.Actions actions =
-                new FailureDetector.Actions() {
-                    @Override
-                    public void sendHeartbeat(Heartbeat heartbeat) {
-                        heartbeats.add(heartbeat);
-                    }
-
-                    @Override
-                    public void onStateChanged(int id, FailureDetector.State state) {}
-                };
-        while (detector.decide(actions)) {
-            continue;
-        }
-        MemberState own = heartbeats.get(0).view().get(0);
-        assertEquals(1, own.incarnation());
-        assertEquals(FailureDetector.State.ALIVE, own.state());
-    }
 }
--- a/src/test/java/sprucelanding/control/membership/FleetSimulation.java
+++ b/src/test/java/sprucelanding/control/membership/FleetSimulation.java
@@ -31,123 +31,11 @@
         }
     }
 
-    /** A proxy's stream to a governor's life. */
-    final class Stream {
-        final Proxy proxy;
-        final Node node;
-        final long generation;
-        boolean open = true;
-        boolean told;
-
-        Stream(Proxy proxy, Node node) {
-            this.proxy = proxy;
-            this.node = node;
-            this.generation = node.generation;
-        }
-    }
-
-    /** It keeps one stream, and reads what comes on that. */
-    final class Proxy {
-        final long key;
-        final int number;
-        Stream stream;
-        int nextGovernor;
-        double silentSince;
-        double unownedSince;
-        long epoch;
-        double longestGapMillis;
-
-        Proxy(int number) {
-            this.number = number;
-            this.key = Leases.proxyKey("proxy-" + number);
-            this.nextGovernor = number;
-        }
-
-        void connect() {
-            Node target = nodes.get(nextGovernor % nodes.size());
-            if (!target.up || governorsCutFromProxies.contains(target.id)) {
-                reconnect();
-                return;
-            }
-            Stream newStream = new Stream(this, target);
-            stream = newStream;
-            silentSince = now;
-            schedule(
-                    2,
-                    () ->
-                            target.deliver(
-                                    newStream.generation,
-                                    () -> {
-                                        target.streams.put(key, newStream);
-                                        target.member.onProxyConnected(key, 0);
-                                    }));
-        }
-
-        /** It leaves the stream, if it has one, and dials the next governor a little later. */
-        void reconnect() {
-            Stream oldStream = stream;
-            stream = null;
-            nextGovernor++;
-            if (oldStream != null
-                    && !governorsCutFromProxies.contains(
-                            oldStream.node.id)) { // across a cut the governor does not hear of it
-                schedule(
-                        2,
-                        () ->
-                                oldStream.node.deliver(
-                                        oldStream.generation,
-                                        () -> oldStream.node.streamEnded(oldStream)));
-            }
-            schedule(
-                    50 + random.nextDouble() * 200,
-                    () -> {
-                        if (stream == null) {
-                            connect();
-                        }
-                    });
-        }
-
-        void onWrite(Stream source, long writeEpoch) {
-            if (source != stream || governorsCutFromProxies.contains(source.node.id)) {
-                return; // of a stream that it has left
-            }
-            silentSince = now;
-            if (unownedSince > 0) {
-                longestGapMillis = Math.max(longestGapMillis, now - unownedSince);
-            }
-            unownedSince = now;
-            Integer previousWriter =
-                    writersByProxyAndEpoch.putIfAbsent(key + "/" + writeEpoch, source.node.id);
-            if (writeEpoch < epoch || previousWriter != null && previousWriter != source.node.id) {
-                violations.add(
-                        "at "
-                                + now
-                                + " proxy "
-                                + number
-                                + " heard "
-                                + source.node.id
-                                + " under "
-                                + writeEpoch
-                                + " after "
-                                + epoch
-                                + " of "
-                                + previousWriter);
-            }
-            epoch = writeEpoch;
-        }
-
-        void checkKeepalive() {
-            if (stream != null && now - silentSince > keepaliveMillis) {
-                reconnect();
-            }
-        }
-    }
-
     final class Node implements FleetMember.Actions {
         final int id;
         final double offset;
         final double pace;
-        final Map<Long, Stream> streams = new HashMap<>();
+        final Map<Long, FleetProxy.Stream> streams = new HashMap<>();
         final Set<Long> writableProxies = new TreeSet<>();
         final List<EvidenceExchange.EndpointObservation> observations = new ArrayList<>();
         long generation;
@@ -214,10 +102,10 @@
             }
         }
 
-        void streamEnded(Stream stream) {
-            if (streams.remove(stream.proxy.key, stream)) {
-                writableProxies.remove(stream.proxy.key);
-                member.onProxyDisconnected(stream.proxy.key);
+        void streamEnded(FleetProxy.Stream stream) {
+            if (streams.remove(stream.proxy().key(), stream)) {
+                writableProxies.remove(stream.proxy().key());
+                member.onProxyDisconnected(stream.proxy().key());
             }
         }
 
@@ -229,13 +117,14 @@
             while (member.decide(this)) {
                 continue;
             }
-            for (Map.Entry<Long, Stream> entry : streams.entrySet()) {
+            for (Map.Entry<Long, FleetProxy.Stream> entry : streams.entrySet()) {
                 if (writableProxies.contains(entry.getKey())
                         && member.writeDeadline(entry.getKey()) > clock()) {
-                    Stream stream = entry.getValue();
+                    FleetProxy.Stream stream = entry.getValue();
                     long epoch = leases.epochOf(entry.getKey());
                     schedule(
-                            1 + random.nextDouble() * 3, () -> stream.proxy.onWrite(stream, epoch));
+                            1 + random.nextDouble() * 3,
+                            () -> stream.proxy().onWrite(stream, epoch));
                 }
             }
         }
@@ -287,15 +176,15 @@
 
         @Override
         public void endStream(long proxy, boolean busy, String reason) {
-            Stream stream = streams.get(proxy);
+            FleetProxy.Stream stream = streams.get(proxy);
             eventLog.add(Math.round(now) + " " + id + " ends " + name(proxy) + ": " + reason);
             if (stream != null) {
                 schedule(
                         2,
                         () -> {
-                            if (stream.proxy.stream == stream
+                            if (stream.proxy().stream() == stream
                                     && !governorsCutFromProxies.contains(id)) {
-                                stream.proxy.reconnect();
+                                stream.proxy().reconnect();
                             }
                         });
                 streamEnded(stream);
@@ -315,7 +204,7 @@
 
     final SplittableRandom random;
     final List<Node> nodes = new ArrayList<>();
-    final List<Proxy> proxies = new ArrayList<>();
+    final List<FleetProxy> proxies = new ArrayList<>();
     final List<String> eventLog = new ArrayList<>();
     final List<String> violations = new ArrayList<>();
     final Set<Integer> cutLinks = new HashSet<>();
@@ -336,7 +225,7 @@
     }
 
     /**
-     * @param room proxies that each governor says it was made for
+     * @param capacity proxies that each governor says it is configured for
      */
     FleetSimulation(int governors, int proxies, long seed, double quarantineMillis, int capacity) {
         this.capacity = capacity;
@@ -347,7 +236,7 @@
         }
         nodes.forEach(Node::start);
         for (int i = 0; i < proxies; i++) {
-            Proxy proxy = new Proxy(i);
+            FleetProxy proxy = new FleetProxy(this, i);
             this.proxies.add(proxy);
             schedule(random.nextDouble() * 100, proxy::connect);
         }
@@ -355,13 +244,13 @@
 
     private String name(long key) {
         return proxies.stream()
-                .filter(proxy -> proxy.key == key)
-                .map(proxy -> "proxy " + proxy.number)
+                .filter(proxy -> proxy.key() == key)
+                .map(proxy -> "proxy " + proxy.number())
                 .findFirst()
                 .orElse("?");
     }
 
-    private void schedule(double millis, Runnable task) {
+    void schedule(double millis, Runnable task) {
         scheduledTasks.add(new ScheduledTask(now + millis, order++, task));
     }
 
@@ -391,31 +280,40 @@
         }
     }
 
+    boolean isCutFromProxies(int id) {
+        return governorsCutFromProxies.contains(id);
+    }
+
+    /** The governor that wrote first to a proxy under an epoch before; null if none did. */
+    Integer recordWriter(long proxy, long epoch, int governor) {
+        return writersByProxyAndEpoch.putIfAbsent(proxy + "/" + epoch, governor);
+    }
+
     void runFor(double millis) {
         for (double end = now + millis; now < end; now += STEP_MILLIS) {
             while (!scheduledTasks.isEmpty() && scheduledTasks.peek().dueAt <= now) {
                 scheduledTasks.poll().task.run();
             }
             nodes.stream().filter(Node::isRunning).forEach(Node::runStep);
-            proxies.forEach(Proxy::checkKeepalive);
-            for (Proxy proxy : proxies) {
+            proxies.forEach(FleetProxy::checkKeepalive);
+            for (FleetProxy proxy : proxies) {
                 List<Integer> owners = owners(proxy);
                 if (owners.size() > 1) {
                     violations.add(
-                            "at " + now + " proxy " + proxy.number + " has the owners " + owners);
+                            "at " + now + " proxy " + proxy.number() + " has the owners " + owners);
                 }
             }
         }
     }
 
     /** Those that have a majority's promise for it right now, by their own word. */
-    List<Integer> owners(Proxy proxy) {
+    List<Integer> owners(FleetProxy proxy) {
         return nodes.stream()
                 .filter(
                         node ->
                                 node.isRunning()
-                                        && node.leases.isOwner(proxy.key)
-                                        && node.leases.writeDeadline(proxy.key) > node.clock())
+                                        && node.leases.isOwner(proxy.key())
+                                        && node.leases.writeDeadline(proxy.key()) > node.clock())
                 .map(node -> node.id)
                 .toList();
     }
@@ -425,8 +323,9 @@
                 proxies.stream()
                         .filter(
                                 proxy ->
-                                        proxy.stream == null
-                                                || !owners(proxy).contains(proxy.stream.node.id))
+                                        proxy.stream() == null
+                                                || !owners(proxy)
+                                                        .contains(proxy.stream().node().id))
                         .count();
     }
 
@@ -449,15 +348,16 @@
         Node node = nodes.get(id);
         node.up = false;
         proxies.stream()
-                .filter(proxy -> proxy.stream != null && proxy.stream.node == node)
+                .filter(proxy -> proxy.stream() != null && proxy.stream().node() == node)
                 .forEach(
                         proxy ->
                                 schedule(
                                         2,
                                         () -> {
-                                            if (proxy.stream != null
-                                                    && proxy.stream.node == node
-                                                    && proxy.stream.generation == node.generation) {
+                                            if (proxy.stream() != null
+                                                    && proxy.stream().node() == node
+                                                    && proxy.stream().generation()
+                                                            == node.generation) {
                                                 proxy.reconnect();
                                             }
                                         }));
@@ -470,9 +370,8 @@
     /** The longest that any proxy had nobody who might write to it, since this was last asked. */
     double takeLongestGapMillis() {
         double longestGapMillis = 0;
-        for (Proxy proxy : proxies) {
-            longestGapMillis = Math.max(longestGapMillis, proxy.longestGapMillis);
-            proxy.longestGapMillis = 0;
+        for (FleetProxy proxy : proxies) {
+            longestGapMillis = Math.max(longestGapMillis, proxy.takeLongestGapMillis());
         }
         return longestGapMillis;
     }
--- a/src/test/java/sprucelanding/control/membership/LeaseModelTest.java
+++ b/src/test/java/sprucelanding/control/membership/LeaseModelTest.java
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The promises of Leases as a model: within its bounds nothing refutes what is claimed, and each
+ * Grants of leases as an Alloy model: within its bounds nothing refutes what is claimed, and each
  * broken variant is refuted.
  */
 class LeaseModelTest {
@@ -35,22 +35,7 @@
         List<String> results =
                 IntStream.range(0, commands)
                         .parallel()
-                        .mapToObj(
-                                i -> {
-                                    Module world =
-                                            CompUtil.parseEverything_fromFile(
-                                                    A4Reporter.NOP, null, model.toString());
-                                    Command command = world.getAllCommands().get(i);
-                                    return command.label
-                                            + (TranslateAlloyToKodkod.execute_command(
-                                                                    A4Reporter.NOP,
-                                                                    world.getAllReachableSigs(),
-                                                                    command,
-                                                                    new A4Options())
-                                                            .satisfiable()
-                                                    ? ": an instance"
-                                                    : ": none");
-                                })
+                        .mapToObj(index -> result(model, index))
                         .toList();
         Files.delete(model);
         assertEquals(
@@ -65,4 +50,18 @@
                         "withoutMajority: an instance"),
                 results);
     }
+
+    /** Each thread reads the model anew, for a parsed one is not safe to share. */
+    private static String result(Path model, int index) {
+        Module module = CompUtil.parseEverything_fromFile(A4Reporter.NOP, null, model.toString());
+        Command command = module.getAllCommands().get(index);
+        boolean satisfiable =
+                TranslateAlloyToKodkod.execute_command(
+                                A4Reporter.NOP,
+                                module.getAllReachableSigs(),
+                                command,
+                                new A4Options())
+                        .satisfiable();
+        return command.label + (satisfiable ? ": an instance" : ": none");
+    }
 }
--- a/src/test/java/sprucelanding/control/membership/PeerCodecTest.java
+++ b/src/test/java/sprucelanding/control/membership/PeerCodecTest.java
@@ -83,7 +83,7 @@
         assertEquals(
                 32, ((Heartbeat) codec.decode(codec.encode(new Heartbeat(0, view)))).view().size());
         List<Claim> claims = new ArrayList<>();
-        for (int i = 0; i < Leases.MAX_CLAIMS_PER_PACKET; i++) {
+        for (int i = 0; i < LeaseClaims.MAX_CLAIMS_PER_PACKET; i++) {
             claims.add(new Claim(i, 1));
         }
         codec.encode(new Grant(0, 1, 1, 1, 1, 1, claims, List.of()));
--- a/src/test/java/sprucelanding/control/membership/RecordedPacketsTest.java
+++ b/src/test/java/sprucelanding/control/membership/RecordedPacketsTest.java
@@ -48,8 +48,10 @@
     private static Map<String, Object> messages() {
         List<MemberState> everyState = new ArrayList<>();
         for (FailureDetector.State state : FailureDetector.State.values()) {
-            int i = state.ordinal();
-            everyState.add(new MemberState(i, LIFE + i, i * 3, Long.MAX_VALUE - i, state));
+            int ordinal = state.ordinal();
+            everyState.add(
+                    new MemberState(
+                            ordinal, LIFE + ordinal, ordinal * 3, Long.MAX_VALUE - ordinal, state));
         }
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("heartbeat-alone", new Heartbeat(0, List.of()));
