--- a/src/main/java/sprucelanding/control/discovery/EndpointList.java
+++ b/src/main/java/sprucelanding/control/discovery/EndpointList.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 
 /**
- * The list. A told list is a JSON object: version, whole (true for all, else changes), servers with
- * id, at (host:port), zone, kind, weight, started, stage. All of a told list is taken or none of
- * it.
+ * The list of endpoints as discovery reported it. An update is a JSON object: version, whole (true
+ * for all endpoints, else changes), servers with id, at (host:port), zone, kind, weight, started,
+ * stage. All of an update is taken over or none of it. Not safe for use by several threads.
  */
 public final class EndpointList {
-    /** What cannot be taken, with the place in the text that is wrong. */
+    /** An update that cannot be taken over; the message has the place in the text that is wrong. */
     public static final class InvalidEndpointListException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -27,58 +27,70 @@
         }
     }
 
-    /** A told list that was taken: what is in it, and whether it is all there is. */
+    /**
+     * An update that was taken over.
+     *
+     * @param version the list's version after it
+     * @param complete whether it has all endpoints, else changes only
+     * @param entries the endpoints that it has
+     */
     public record ListUpdate(long version, boolean complete, List<ListedEndpoint> entries) {}
 
     private static final int MAX_ENTRIES = 20_000;
+    private static final long NO_VERSION = -1;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final List<String> zones;
     private final List<String> machineKinds;
+    private final EndpointEntryParser entryParser;
     private final Map<Long, ListedEndpoint> endpointsById = new LinkedHashMap<>();
-    private long version = -1;
+    private long version = NO_VERSION;
     private boolean acceptLowerVersion = true;
 
+    /**
+     * An empty list.
+     *
+     * @param zones names of the site's zones
+     * @param machineKinds names of the site's machine kinds
+     */
     public EndpointList(List<String> zones, List<String> machineKinds) {
         this.zones = zones;
         this.machineKinds = machineKinds;
+        this.entryParser = new EndpointEntryParser(zones, machineKinds);
     }
 
+    /** The version of the latest update; -1 if there was none. */
     public long version() {
         return version;
     }
 
+    /** The endpoint of an id; null if it is not listed. */
     public ListedEndpoint endpoint(long id) {
         return endpointsById.get(id);
     }
 
+    /** All listed endpoints, in the order in which they were first listed. */
     public Collection<ListedEndpoint> endpoints() {
         return endpointsById.values();
     }
 
     /**
-     * A new connection: a roster that started anew may count versions anew, so the next whole list
-     * is taken.
+     * A new connection to discovery, which may have restarted and count versions anew: the next
+     * complete list is taken over whatever its version.
      */
     public void connectionOpened() {
         acceptLowerVersion = true;
     }
 
     /**
-     * Takes a told list; null if it is no newer than what is known. Changes need the version right
-     * before them.
+     * Takes over an update. Changes need the version right before theirs.
+     *
+     * @return what was taken over; null if it is no newer than what is known
+     * @throws InvalidEndpointListException if it is malformed or changes before it are missing
      */
     public ListUpdate update(String json) throws InvalidEndpointListException {
-        JsonNode root;
-        try {
-            root = JSON.readTree(json);
-        } catch (JsonProcessingException e) {
-            throw new InvalidEndpointListException("no JSON: " + e.getOriginalMessage());
-        }
-        if (root == null || !root.isObject()) {
-            throw new InvalidEndpointListException("no JSON object");
-        }
-        long newVersion = requireNumber(root, "version", "list").longValue();
+        JsonNode root = parseObject(json);
+        long newVersion = EndpointEntryParser.requireNumber(root, "version", "list").longValue();
         boolean complete = root.path("whole").asBoolean(false);
         JsonNode servers = root.path("servers");
         if (!servers.isArray() || servers.size() > MAX_ENTRIES) {
@@ -96,101 +108,46 @@
                             + version
                             + ": some are missing");
         }
-        List<ListedEndpoint> endpoints = new ArrayList<>();
+        List<ListedEndpoint> entries = new ArrayList<>();
         for (int i = 0; i < servers.size(); i++) {
-            endpoints.add(endpoint(servers.get(i), "servers[" + i + "]"));
-        }
-        if (complete) {
-            acceptLowerVersion = false;
-            endpointsById.clear();
-        }
-        for (ListedEndpoint endpoint : endpoints) {
-            if (endpoint.state() == ListedEndpoint.State.GONE) {
-                endpointsById.remove(endpoint.id());
-            } else {
-                endpointsById.put(endpoint.id(), endpoint);
-            }
+            entries.add(entryParser.parse(servers.get(i), "servers[" + i + "]"));
         }
+        apply(entries, complete);
         version = newVersion;
-        return new ListUpdate(newVersion, complete, endpoints);
+        return new ListUpdate(newVersion, complete, entries);
     }
 
-    private ListedEndpoint endpoint(JsonNode node, String path)
-            throws InvalidEndpointListException {
-        long id = requireNumber(node, "id", path).longValue();
-        if (id <= 0 || id > 0xffff_ffffL) {
-            throw new InvalidEndpointListException(
-                    path + ".id: " + id + " is not from 1 to 2^32-1");
-        }
-        String address = node.path("at").asText("");
-        int colon = address.lastIndexOf(':');
-        int port = 0;
+    private static JsonNode parseObject(String json) throws InvalidEndpointListException {
+        JsonNode root;
         try {
-            port = Integer.parseInt(address.substring(colon + 1));
-        } catch (NumberFormatException e) {
-            // said below
-        }
-        if (colon < 1 || port < 1 || port > 65_535) {
-            throw new InvalidEndpointListException(
-                    path + ".at: \"" + address + "\" is no host:port");
-        }
-        double weight = node.path("weight").asDouble(1);
-        if (!(weight > 0) || weight > 1e6) {
-            throw new InvalidEndpointListException(
-                    path + ".weight: " + weight + " is not above 0 and at most 1e6");
-        }
-        double startedAt = node.path("started").asDouble(0);
-        if (!(startedAt >= 0) || Double.isInfinite(startedAt)) {
-            throw new InvalidEndpointListException(path + ".started: " + startedAt + " is no time");
+            root = JSON.readTree(json);
+        } catch (JsonProcessingException e) {
+            throw new InvalidEndpointListException("no JSON: " + e.getOriginalMessage());
         }
-        ListedEndpoint.State state;
-        try {
-            state =
-                    ListedEndpoint.State.valueOf(
-                            node.path("stage").asText("ready").toUpperCase(Locale.ROOT));
-        } catch (IllegalArgumentException e) {
-            throw new InvalidEndpointListException(path + ".stage: none of ready, draining, gone");
+        if (root == null || !root.isObject()) {
+            throw new InvalidEndpointListException("no JSON object");
         }
-        return new ListedEndpoint(
-                id,
-                address.substring(0, colon),
-                port,
-                indexOfName(zones, node, "zone", path),
-                indexOfName(machineKinds, node, "kind", path),
-                weight,
-                startedAt,
-                state);
+        return root;
     }
 
-    private static int indexOfName(List<String> names, JsonNode node, String field, String path)
-            throws InvalidEndpointListException {
-        String name = node.path(field).asText("");
-        int index = names.indexOf(name);
-        if (index < 0 && !(name.isEmpty() && names.size() == 1)) {
-            throw new InvalidEndpointListException(
-                    path + "." + field + ": \"" + name + "\" is none of " + names);
+    private void apply(List<ListedEndpoint> entries, boolean complete) {
+        if (complete) {
+            acceptLowerVersion = false;
+            endpointsById.clear();
         }
-        return Math.max(0, index);
-    }
-
-    private static Number requireNumber(JsonNode node, String field, String path)
-            throws InvalidEndpointListException {
-        JsonNode value = node.path(field);
-        if (!value.isNumber()) {
-            throw new InvalidEndpointListException(path + "." + field + ": expected a number");
+        for (ListedEndpoint endpoint : entries) {
+            if (endpoint.state() == ListedEndpoint.State.GONE) {
+                endpointsById.remove(endpoint.id());
+            } else {
+                endpointsById.put(endpoint.id(), endpoint);
+            }
         }
-        return value.numberValue();
     }
 
-    /** The list as text that tell takes. */
+    /** The list as a complete update, which {@link #update} takes over. */
     public String toJson() {
-        ObjectNode root =
-                JSON.createObjectNode().put("version", Math.max(0, version)).put("whole", true);
-        ArrayNode servers = root.putArray("servers");
-        endpointsById
-                .values()
-                .forEach(endpoint -> appendEntry(servers, endpoint, zones, machineKinds));
-        return root.toString();
+        return formatUpdate(
+                Math.max(0, version), true, endpointsById.values(), zones, machineKinds);
     }
 
     private static void appendEntry(
@@ -208,7 +165,7 @@
                 .put("stage", endpoint.state().name().toLowerCase(Locale.ROOT));
     }
 
-    /** A told list in the same form, for whoever tells. */
+    /** An update in the same form, for the sender of one. */
     public static String formatUpdate(
             long version,
             boolean complete,
--- a/src/main/java/sprucelanding/control/discovery/ListedEndpoint.java
+++ b/src/main/java/sprucelanding/control/discovery/ListedEndpoint.java
@@ -1,11 +1,16 @@
 package sprucelanding.control.discovery;
 
 /**
- * One replica as listed.
+ * One endpoint as listed.
  *
+ * @param id its number, from 1 to 2^32-1
+ * @param host name or address
+ * @param port TCP port
  * @param zone position among the site's zones
- * @param kind position among the site's machine kinds
+ * @param machineKind position among the site's machine kinds
+ * @param weight relative capacity that discovery gives it
  * @param startedAt ms since 1970 of its latest start; 0 if long past
+ * @param state what discovery says of it
  */
 public record ListedEndpoint(
         long id,
@@ -16,9 +21,13 @@
         double weight,
         double startedAt,
         State state) {
+    /** What discovery says of an endpoint; in lower case, its word in a list. */
     public enum State {
+        /** It takes requests. */
         READY,
+        /** It is about to stop: it should get no more requests. */
         DRAINING,
+        /** It is no longer listed. */
         GONE
     }
 }
--- a/src/main/java/sprucelanding/control/loadreport/LoadReport.java
+++ b/src/main/java/sprucelanding/control/loadreport/LoadReport.java
@@ -3,10 +3,12 @@
 import java.util.List;
 
 /**
- * What a proxy says it met since its last report.
+ * What a proxy reports of the time since its previous report.
  *
- * @param span ms that it covers, as the proxy measured them
- * @param came txns by product, declined ones included
+ * @param proxyId the proxy
+ * @param spanMillis time that it covers, ms, as the proxy measured it
+ * @param endpointStats attempts by endpoint
+ * @param requestsByClass requests that came in, by request class, rejected ones included
  */
 public record LoadReport(
         int proxyId,
@@ -14,11 +16,15 @@
         List<EndpointStats> endpointStats,
         List<Long> requestsByClass) {
     /**
-     * Tries at one replica.
+     * Attempts at one endpoint.
      *
-     * @param answerTime ms, summed over the settled ones
-     * @param loads loads told in answers, summed
-     * @param told how many answers told one
+     * @param endpointId the endpoint
+     * @param issued attempts that began
+     * @param completed attempts that ended with a response
+     * @param failed attempts that ended without a usable one
+     * @param totalResponseMillis response times of the completed ones, ms, summed up
+     * @param loadSum loads that responses reported, summed up
+     * @param loadSamples how many responses reported a load
      */
     public record EndpointStats(
             long endpointId,
--- a/src/main/java/sprucelanding/control/loadreport/package-info.java
+++ b/src/main/java/sprucelanding/control/loadreport/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Decides what of the proxies' load reports is believed, and sums it up for the module period by
- * period. No I/O and no clock of its own.
+ * Decides which load reports of proxies are believed, and sums them up for the controller period by
+ * period. {@link sprucelanding.control.loadreport.LoadReportAggregator} is what a host calls. No
+ * I/O, no clock and no thread of its own.
  */
 package sprucelanding.control.loadreport;
--- a/src/test/java/sprucelanding/control/discovery/EndpointListTest.java
+++ b/src/test/java/sprucelanding/control/discovery/EndpointListTest.java
@@ -55,7 +55,7 @@
     @Test
     void listWithInvalidEntryIsRejectedAsAWholeNamingThePosition() throws Exception {
         endpointList.update(listJson(1, true, endpointJson(1, "north", "ready")));
-        EndpointList.InvalidEndpointListException e =
+        EndpointList.InvalidEndpointListException exception =
                 assertThrows(
                         EndpointList.InvalidEndpointListException.class,
                         () ->
@@ -65,7 +65,9 @@
                                                 true,
                                                 endpointJson(2, "south", "ready"),
                                                 endpointJson(3, "moon", "ready"))));
-        assertTrue(e.getMessage().startsWith("servers[1].zone: \"moon\""), e.getMessage());
+        assertTrue(
+                exception.getMessage().startsWith("servers[1].zone: \"moon\""),
+                exception.getMessage());
         assertNull(endpointList.endpoint(2));
         assertEquals(1, endpointList.version());
         for (String bad :
