--- a/src/main/java/sprucelanding/runtime/governor/DiscoveryLink.java
+++ b/src/main/java/sprucelanding/runtime/governor/DiscoveryLink.java
@@ -1,5 +1,6 @@
 package sprucelanding.runtime.governor;
 
+import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -9,19 +10,25 @@
 import sprucelanding.runtime.eventloop.TcpConnection;
 
 /**
- * The stream on which the roster tells its list: server-sent events (WHATWG HTML, section 9.2) over
- * HTTP/1.1, data of one line each. It dials again after a break, with the last event's id, waiting
- * longer each time.
+ * The stream on which discovery tells its list: server-sent events (WHATWG HTML, section 9.2) over
+ * HTTP/1.1, data of one line each. It connects again after a break, waiting longer each time. Runs
+ * on the event loop.
  */
 final class DiscoveryLink implements TcpConnection.Listener {
+    /** Is notified of the stream, on the event loop. */
     interface EventListener {
+        /** A stream of events has begun. */
         void streamOpened();
 
+        /** An event has arrived. */
         void eventReceived(String data);
 
+        /** The connection has ended or could not be made; another is made later. */
         void streamBroken(String reason);
     }
 
+    private static final int HTTP_OK = 200;
+    private static final String DATA_FIELD = "data:";
     private static final int MAX_EVENT_BYTES = 4 << 20;
     private static final int MAX_UNREAD_BYTES = 65_536;
     private static final double INITIAL_RETRY_MILLIS = 100;
@@ -32,7 +39,7 @@
     private final InetSocketAddress localAddress;
     private final EventListener listener;
     private final StringBuilder eventData = new StringBuilder();
-    private final java.io.ByteArrayOutputStream line = new java.io.ByteArrayOutputStream();
+    private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private HttpParser httpParser;
     private double retryMillis = INITIAL_RETRY_MILLIS;
     private TcpConnection connection;
@@ -51,23 +58,21 @@
     void open() {
         eventData.setLength(0);
         line.reset();
-        httpParser =
-                new HttpParser(
-                                head -> {
-                                    if (head.status() != 200
-                                            || !head.header("content-type")
-                                                    .startsWith("text/event-stream")) {
-                                        connection.close();
-                                    } else {
-                                        retryMillis = INITIAL_RETRY_MILLIS;
-                                        listener.streamOpened();
-                                    }
-                                })
-                        .streamBodiesTo(this::onBodyBytes);
+        httpParser = new HttpParser(this::onResponseHead).streamBodiesTo(this::onBodyBytes);
         connection = loop.connect(address, localAddress, MAX_UNREAD_BYTES, this);
     }
 
-    /** Drops the stream and asks for all anew. */
+    private void onResponseHead(HttpParser.Message head) {
+        if (head.status() == HTTP_OK
+                && head.header("content-type").startsWith("text/event-stream")) {
+            retryMillis = INITIAL_RETRY_MILLIS;
+            listener.streamOpened();
+        } else {
+            connection.close();
+        }
+    }
+
+    /** Ends the stream, so that the next one begins with the complete list. */
     void reconnect() {
         connection.close();
     }
@@ -94,13 +99,18 @@
             }
             String text = line.toString(StandardCharsets.UTF_8).replace("\r", "");
             line.reset();
-            if (text.startsWith("data:")) {
-                eventData.append(text, text.startsWith("data: ") ? 6 : 5, text.length());
-            } else if (text.isEmpty() && !eventData.isEmpty()) {
-                String data = eventData.toString();
-                eventData.setLength(0);
-                listener.eventReceived(data);
-            }
+            onLine(text);
+        }
+    }
+
+    private void onLine(String text) {
+        if (text.startsWith(DATA_FIELD)) {
+            boolean spaced = text.startsWith(DATA_FIELD + " ");
+            eventData.append(text, DATA_FIELD.length() + (spaced ? 1 : 0), text.length());
+        } else if (text.isEmpty() && !eventData.isEmpty()) {
+            String data = eventData.toString();
+            eventData.setLength(0);
+            listener.eventReceived(data);
         }
     }
 
--- a/src/main/java/sprucelanding/runtime/governor/EndpointListFile.java
+++ b/src/main/java/sprucelanding/runtime/governor/EndpointListFile.java
@@ -8,9 +8,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes the last list to a file, in a thread of its own; a restarted governor begins with it. */
+/**
+ * Stores the latest endpoint list in a file, on a thread of its own named "keep"; a restarted
+ * governor begins with it. That thread ends with {@link #close}.
+ */
 final class EndpointListFile implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListFile.class);
+
     private final Path file;
     private final ArrayBlockingQueue<String> pendingText = new ArrayBlockingQueue<>(1);
     private final Thread thread = new Thread(this, "keep");
@@ -21,14 +25,14 @@
         thread.start();
     }
 
-    /** The newest text wins; never blocks. */
+    /** Has the text written; one that waits to be written is dropped for it. Never blocks. */
     void store(String text) {
         while (!pendingText.offer(text)) {
             pendingText.poll();
         }
     }
 
-    /** Null if there is none that can be read. */
+    /** The stored text; null if there is none that can be read. */
     String read() {
         try {
             return Files.exists(file) ? Files.readString(file) : null;
--- a/src/main/java/sprucelanding/runtime/governor/FrontMetrics.java
+++ b/src/main/java/sprucelanding/runtime/governor/FrontMetrics.java
@@ -5,27 +5,36 @@
 import org.HdrHistogram.Recorder;
 import org.slf4j.spi.LoggingEventBuilder;
 
-/** What one front wrote, and how long it took, since the last line with the figures. Any thread. */
+/**
+ * What one front wrote, and how long it took, since the figures were logged last. Safe for use by
+ * any thread.
+ */
 final class FrontMetrics {
+    private static final double MICROS_PER_MILLI = 1000;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
 
-    /** us from a decision to its bytes at the transport, and to its acknowledgement. */
-    private final Recorder writeLatencies = new Recorder(MAX_LATENCY_MICROS, 3);
+    /** Microseconds from a decision until its bytes are at the transport. */
+    private final Recorder writeLatencies = new Recorder(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
+
+    /** Microseconds from a decision until its acknowledgement. */
+    private final Recorder acknowledgementLatencies =
+            new Recorder(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
 
-    private final Recorder acknowledgementLatencies = new Recorder(MAX_LATENCY_MICROS, 3);
     private final LongAdder bytes = new LongAdder();
     private final LongAdder tableEntries = new LongAdder();
 
     void recordWrite(double latencyMillis, long byteCount, int entryCount) {
-        writeLatencies.recordValue((long) Math.max(0, latencyMillis * 1000));
+        writeLatencies.recordValue((long) Math.max(0, latencyMillis * MICROS_PER_MILLI));
         bytes.add(byteCount);
         tableEntries.add(entryCount);
     }
 
     void recordAcknowledgement(double latencyMillis) {
-        acknowledgementLatencies.recordValue((long) Math.max(0, latencyMillis * 1000));
+        acknowledgementLatencies.recordValue((long) Math.max(0, latencyMillis * MICROS_PER_MILLI));
     }
 
+    /** Adds the figures since the previous call, which begin at 0 again. */
     LoggingEventBuilder addTo(LoggingEventBuilder event) {
         Histogram writes = writeLatencies.getIntervalHistogram();
         Histogram acknowledgements = acknowledgementLatencies.getIntervalHistogram();
--- a/src/main/java/sprucelanding/runtime/governor/GenerationFile.java
+++ b/src/main/java/sprucelanding/runtime/governor/GenerationFile.java
@@ -6,9 +6,10 @@
 import java.nio.file.Path;
 
 /**
- * One number in a file: what the epochs of this governor's next life must begin above. It is
- * written ahead of what was heard, so rarely, and renamed into place. Guards against a wall clock
- * that was set back while governors restart.
+ * Keeps one number in a file: what the generation of this governor's next start must be above, for
+ * epochs begin above the generation. It is written ahead of the highest epoch heard of, so that it
+ * is written rarely, and renamed into place. Guards against a wall clock that was set back while
+ * governors restart. Not safe for use by several threads; the governor uses it on one at a time.
  */
 public final class GenerationFile {
     private static final long WRITE_AHEAD = 100_000;
@@ -17,8 +18,11 @@
     private long storedEpoch;
 
     /**
-     * Throws IOException if the file cannot be read or written: then epochs might go back. Null:
-     * none is kept.
+     * Begins a generation.
+     *
+     * @param file null if none is kept
+     * @param wallClockMillis ms since 1970
+     * @throws IOException if the file cannot be read or written, for then epochs might go back
      */
     public GenerationFile(Path file, long wallClockMillis) throws IOException {
         this.file = file;
@@ -39,12 +43,12 @@
         write(generation);
     }
 
-    /** This life: ms since 1970 at its begin, or more if it was so late before. */
+    /** This generation: ms since 1970 at its begin, or above the stored number if that is later. */
     public long generation() {
         return generation;
     }
 
-    /** The highest epoch heard of; on a thread that may wait. */
+    /** Stores the highest epoch heard of; to be called on a thread that may block. */
     void recordEpoch(long highestEpoch) throws IOException {
         if (file != null && highestEpoch > storedEpoch - WRITE_AHEAD / 2) {
             write(highestEpoch);
--- a/src/main/java/sprucelanding/runtime/governor/Governor.java
+++ b/src/main/java/sprucelanding/runtime/governor/Governor.java
@@ -6,7 +6,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
@@ -26,21 +25,33 @@
 import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
- * The core on its loop: what fronts, the roster and probes bring becomes steps there, and each
- * round of the loop ends with one settling of Round. Open it with build, add fronts, then start.
+ * A running governor: the core on its event loop. What fronts, discovery, health checks and other
+ * governors bring becomes tasks of the loop, and each round of the loop ends with one batch of the
+ * core. Add the fronts, then start it. Methods of {@link CoreHandle} and {@link ResourceNaming} are
+ * safe to call from any thread.
  */
 public final class Governor implements CoreHandle, ResourceNaming {
     private static final Logger LOG = LoggerFactory.getLogger(Governor.class);
     private static final int MAX_PROXIES = 65_535;
-    private static final double METRICS_INTERVAL_MILLIS =
-            10_000; // ms between lines with the figures
+    private static final double METRICS_INTERVAL_MILLIS = 10_000;
+    private static final Object[] NO_FIELDS = {};
 
-    /** Names of the site, by position. */
+    /**
+     * Names of the site, by position.
+     *
+     * @param requestClasses names of request classes
+     * @param zones names of zones
+     * @param kinds names of machine kinds
+     */
     public record SiteNames(List<String> requestClasses, List<String> zones, List<String> kinds) {}
 
     /**
-     * How the list comes: where it is told, the own address to dial from (or null), and whether it
-     * comes unasked.
+     * How the list of endpoints comes.
+     *
+     * @param address where discovery tells it
+     * @param localAddress own address to connect from; null for any
+     * @param pushed whether it comes unasked
+     * @param cacheFile where the latest list is stored for a restart; null for nowhere
      */
     public record DiscoverySettings(
             InetSocketAddress address,
@@ -48,7 +59,12 @@
             boolean pushed,
             Path cacheFile) {}
 
-    /** Probes: whether they are allowed, and ms until one counts as unanswered. */
+    /**
+     * Health checks.
+     *
+     * @param allowed whether the governor may make any
+     * @param timeoutMillis ms after which one counts as timed out
+     */
     public record HealthCheckSettings(boolean allowed, double timeoutMillis) {}
 
     private final EventLoop loop = new EventLoop("core");
@@ -56,7 +72,6 @@
     private final SharedGovernorCore sharedCore;
     private final GovernorCore core;
     private final DiscoverySettings discoverySettings;
-    private final HealthCheckSettings healthCheckSettings;
     private final boolean admitsByRate;
     private final EndpointListFile endpointListFile;
     private final DiscoveryLink discoveryLink;
@@ -64,14 +79,18 @@
     private final PeerSettings peerSettings;
     private PeerLink peerLink;
     private final ProxyIds proxyIds = new ProxyIds(MAX_PROXIES);
-    private final Map<Long, ListedEndpoint> endpointsById = new ConcurrentHashMap<>();
-    private final Map<String, Long> idsByAddress = new ConcurrentHashMap<>();
+    private final EndpointDirectory endpointDirectory = new EndpointDirectory();
     private final Map<Front, FrontMetrics> metricsByFront = new LinkedHashMap<>();
     private Thread thread;
 
     /**
-     * The other governors, by number: where they are told, where they tell, what signs that, and
-     * what lasts.
+     * The other governors of a shared fleet.
+     *
+     * @param fleetMember decides this governor's part in the fleet
+     * @param localAddress where it hears the others
+     * @param addressesByGovernor where it tells them
+     * @param peerKeys sign what is sent
+     * @param incarnationFile keeps the generation for the next start
      */
     public record PeerSettings(
             FleetMember fleetMember,
@@ -81,8 +100,14 @@
             GenerationFile incarnationFile) {}
 
     /**
-     * @param fellows null: it is alone
-     * @param core makes it on the host that it is given
+     * A governor that is not yet started.
+     *
+     * @param siteNames names of the site
+     * @param discoverySettings how the list of endpoints comes
+     * @param healthCheckSettings how health checks are made
+     * @param admitsByRate whether admission at proxies is by rate, else by share
+     * @param peerSettings the other governors; null if there are none
+     * @param coreFactory makes the core on the host that it is given
      */
     public Governor(
             SiteNames siteNames,
@@ -93,12 +118,18 @@
             Function<GovernorCore.Host, GovernorCore> coreFactory) {
         this.siteNames = siteNames;
         this.discoverySettings = discoverySettings;
-        this.healthCheckSettings = healthCheckSettings;
         this.admitsByRate = admitsByRate;
         this.peerSettings = peerSettings;
         this.sharedCore =
                 new SharedGovernorCore(
-                        new CoreHost(),
+                        new CoreHost(
+                                loop,
+                                new HostOwner(),
+                                this,
+                                endpointDirectory,
+                                metricsByFront,
+                                discoverySettings.localAddress(),
+                                healthCheckSettings.timeoutMillis()),
                         (recipient, message) -> peerLink.send(recipient, message),
                         peerSettings == null ? null : peerSettings.fleetMember(),
                         siteNames.zones()::indexOf,
@@ -113,40 +144,19 @@
                         loop,
                         discoverySettings.address(),
                         discoverySettings.localAddress(),
-                        new DiscoveryLink.EventListener() {
-                            @Override
-                            public void streamOpened() {
-                                core.discoveryConnected();
-                            }
-
-                            @Override
-                            public void eventReceived(String eventData) {
-                                if (!core.endpointListReceived(eventData)) {
-                                    reconnectDiscovery(); // the roster then tells all of it
-                                } else if (endpointListFile != null) {
-                                    endpointListFile.store(core.endpointListText());
-                                }
-                            }
-
-                            @Override
-                            public void streamBroken(String reason) {
-                                core.discoveryFailed(reason, discoverySettings.pushed());
-                            }
-                        });
+                        new DiscoveryEvents());
     }
 
-    private void reconnectDiscovery() {
-        discoveryLink.reconnect();
-    }
-
-    /** Before start. */
+    /** Adds a front; to be called before {@link #start}. */
     public void addFront(Front front) {
         fronts.add(front);
         metricsByFront.put(front, new FrontMetrics());
     }
 
     /**
-     * @param every ms between the sums that Choice is told
+     * Starts the loop's thread, which ends with {@link #close}.
+     *
+     * @param reportIntervalMillis ms between the sums of load reports that the core gets
      */
     public void start(double reportIntervalMillis) {
         thread = new Thread(loop, "core");
@@ -171,11 +181,7 @@
         thread.start();
     }
 
-    private static LoggingEventBuilder log(String text) {
-        return LOG.atInfo().setMessage(text);
-    }
-
-    // Fronts: each call becomes a step on the loop.
+    // What fronts call: each call becomes a task of the loop.
 
     @Override
     public boolean proxyConnected(
@@ -250,12 +256,12 @@
 
     @Override
     public ListedEndpoint endpoint(long id) {
-        return endpointsById.get(id);
+        return endpointDirectory.endpoint(id);
     }
 
     @Override
     public long endpointIdAt(String host, int port) {
-        return idsByAddress.getOrDefault(host + ":" + port, 0L);
+        return endpointDirectory.idAt(host, port);
     }
 
     @Override
@@ -263,32 +269,30 @@
         return admitsByRate;
     }
 
-    /** A line with the figures since the last one, and one for each front. */
+    /** Logs the figures since the previous time: a line of the core, and one of each front. */
     private void logMetrics() {
-        LoggingEventBuilder event =
-                withFields(withFields(log("figures"), core.metrics()), sharedCore.metrics());
-        (peerLink == null ? event : withFields(event, peerLink.takeMetrics())).log();
-        metricsByFront.forEach(
-                (front, metrics) ->
-                        metrics.addTo(log("front").addKeyValue("front", front.name())).log());
+        LoggingEventBuilder event = LOG.atInfo().setMessage("figures");
+        event = CoreHost.withFields(event, core.metrics());
+        event = CoreHost.withFields(event, sharedCore.metrics());
+        Object[] peerFields = peerLink == null ? NO_FIELDS : peerLink.takeMetrics();
+        CoreHost.withFields(event, peerFields).log();
+        metricsByFront.forEach(this::logFrontMetrics);
     }
 
-    private static LoggingEventBuilder withFields(LoggingEventBuilder event, Object... fields) {
-        LoggingEventBuilder extended = event;
-        for (int i = 0; i + 1 < fields.length; i += 2) {
-            extended = extended.addKeyValue(fields[i].toString(), fields[i + 1]);
-        }
-        return extended;
+    private void logFrontMetrics(Front front, FrontMetrics metrics) {
+        metrics.addTo(LOG.atInfo().setMessage("front").addKeyValue("front", front.name())).log();
     }
 
-    /** Runs a step on the core's thread; false if the core is full. */
+    /** Runs a task on the core's thread; false if the core is full. */
     public boolean submit(Runnable task) {
         return loop.tryExecute(task);
     }
 
     /**
-     * Planned: sends its proxies on to the others; true once all have gone, false if that took
-     * longer than ms.
+     * Redirects its proxies to the other governors before a planned stop, and waits until all have
+     * gone.
+     *
+     * @return false if that took longer than the timeout, or the calling thread was interrupted
      */
     public boolean drain(double timeoutMillis) {
         CountDownLatch drained = new CountDownLatch(1);
@@ -301,6 +305,7 @@
         }
     }
 
+    /** Ends the loop, the fronts and the threads beside them. */
     public void close() {
         loop.close();
         if (peerLink != null) {
@@ -312,73 +317,38 @@
         }
     }
 
-    /** What the core asks of the loop and of the fronts. */
-    private final class CoreHost implements GovernorCore.Host, HealthCheck.ResultListener {
-        @Override
-        public double now() {
-            return EventLoop.nowMillis();
-        }
-
-        @Override
-        public void schedule(double time, Runnable task) {
-            loop.scheduleAt(time, task);
-        }
-
-        @Override
-        public void send(Object front, ResourceUpdate update) {
-            ((Front) front).send(update, Governor.this);
-        }
-
-        @Override
-        public void closeStream(Object front, ProxyStream stream, boolean busy, String reason) {
-            ((Front) front).endStream(stream, busy, reason);
-        }
-
-        @Override
-        public void startHealthCheck(ListedEndpoint endpoint) {
-            new HealthCheck(
-                    loop,
-                    endpoint.id(),
-                    new InetSocketAddress(endpoint.host(), endpoint.port()),
-                    discoverySettings.localAddress(),
-                    healthCheckSettings.timeoutMillis(),
-                    this);
-        }
-
+    /** What the core's host asks of this governor. */
+    private final class HostOwner implements CoreHost.Owner {
         @Override
         public void healthCheckCompleted(long endpointId, HealthCheckResult result, double load) {
             core.healthCheckCompleted(endpointId, result, load);
         }
 
         @Override
-        public void broadcastToPeers(byte[] message) {
-            // Choice asks for none; what governors tell each other is the sharing's
-        }
-
-        @Override
-        public void watchEndpointList() {
+        public void openDiscovery() {
             discoveryLink.open();
         }
+    }
 
+    /** Takes what discovery tells to the core, and stores the list for a restart. */
+    private final class DiscoveryEvents implements DiscoveryLink.EventListener {
         @Override
-        public void batchAcknowledged(Object front, double latencyMillis) {
-            metricsByFront.get((Front) front).recordAcknowledgement(latencyMillis);
-        }
-
-        @Override
-        public void endpointListed(ListedEndpoint endpoint) {
-            endpointsById.put(endpoint.id(), endpoint);
-            idsByAddress.put(endpoint.host() + ":" + endpoint.port(), endpoint.id());
+        public void streamOpened() {
+            core.discoveryConnected();
         }
 
         @Override
-        public void log(String text, Object... fields) {
-            withFields(Governor.log(text), fields).log();
+        public void eventReceived(String eventData) {
+            if (!core.endpointListReceived(eventData)) {
+                discoveryLink.reconnect(); // discovery then tells the complete list
+            } else if (endpointListFile != null) {
+                endpointListFile.store(core.endpointListText());
+            }
         }
 
         @Override
-        public void decisionFailed(RuntimeException e) {
-            LOG.atError().setMessage("BUG: a decision failed").setCause(e).log();
+        public void streamBroken(String reason) {
+            core.discoveryFailed(reason, discoverySettings.pushed());
         }
     }
 }
--- a/src/main/java/sprucelanding/runtime/governor/HealthCheck.java
+++ b/src/main/java/sprucelanding/runtime/governor/HealthCheck.java
@@ -7,13 +7,24 @@
 import sprucelanding.runtime.eventloop.HttpParser;
 import sprucelanding.runtime.eventloop.OrcaTextParser;
 
-/** One probe: a GET of /probe at a replica, one answer, on a connection of its own. */
+/** One health check: a GET of /probe at an endpoint, on a connection of its own. */
 final class HealthCheck implements HttpGet.ResponseHandler {
-    /** Told the answer once; the load is a share of its cores, NaN if it told none. */
+    /** Is notified of the result once. */
     interface ResultListener {
+        /**
+         * The check has ended.
+         *
+         * @param endpointId the endpoint
+         * @param result what came of it
+         * @param load fraction of the endpoint's cores in use; NaN if it was not reported
+         */
         void healthCheckCompleted(long endpointId, HealthCheckResult result, double load);
     }
 
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_TOO_MANY_REQUESTS = 429; // RFC 6585, section 4
+    private static final int HTTP_UNAVAILABLE = 503;
+
     private final long endpointId;
     private final ResultListener listener;
 
@@ -31,27 +42,33 @@
 
     @Override
     public void onResponse(HttpParser.Message response) {
-        HealthCheckResult result =
-                response.status() == 200
-                        ? HealthCheckResult.OK
-                        : response.status() == 429 || response.status() == 503
-                                ? HealthCheckResult.BUSY
-                                : HealthCheckResult.ERROR;
         listener.healthCheckCompleted(
-                endpointId, result, cpuUtilization(response.header("endpoint-load-metrics")));
+                endpointId,
+                resultOfStatus(response.status()),
+                cpuUtilization(response.header("endpoint-load-metrics")));
+    }
+
+    private static HealthCheckResult resultOfStatus(int status) {
+        return switch (status) {
+            case HTTP_OK -> HealthCheckResult.OK;
+            case HTTP_TOO_MANY_REQUESTS, HTTP_UNAVAILABLE -> HealthCheckResult.BUSY;
+            default -> HealthCheckResult.ERROR;
+        };
     }
 
     @Override
     public void onFailure(boolean connected, boolean timedOut) {
-        listener.healthCheckCompleted(
-                endpointId,
-                timedOut
-                        ? HealthCheckResult.TIMED_OUT
-                        : connected ? HealthCheckResult.ERROR : HealthCheckResult.UNREACHABLE,
-                Double.NaN);
+        listener.healthCheckCompleted(endpointId, resultOfFailure(connected, timedOut), Double.NaN);
+    }
+
+    private static HealthCheckResult resultOfFailure(boolean connected, boolean timedOut) {
+        if (timedOut) {
+            return HealthCheckResult.TIMED_OUT;
+        }
+        return connected ? HealthCheckResult.ERROR : HealthCheckResult.UNREACHABLE;
     }
 
-    /** The share of busy cores in the text form of an ORCA load report; NaN if it tells none. */
+    /** The fraction of cores in use in the text form of an ORCA load report; NaN if it has none. */
     static double cpuUtilization(String report) {
         return OrcaTextParser.metric(report, "cpu_utilization", 1);
     }
--- a/src/main/java/sprucelanding/runtime/governor/PeerKeys.java
+++ b/src/main/java/sprucelanding/runtime/governor/PeerKeys.java
@@ -12,17 +12,26 @@
 
 /**
  * The keys that governors share, from a file of hexadecimal lines, 16 bytes each at least: the
- * first signs, all are accepted. So a key changes in service in three steps: added last everywhere,
- * then moved first everywhere, then the old one taken out.
+ * first signs, all are accepted. So a key changes in service in three steps: the new one is added
+ * as the last everywhere, then moved to the first place everywhere, then the old one is removed.
  */
 public final class PeerKeys {
     private static final Logger LOG = LoggerFactory.getLogger(PeerKeys.class);
     private static final int MAX_FILE_BYTES = 64 * 1024;
+
     private final Path file;
+
+    /** Replaced as a whole by the thread that reads the file; used on the core's thread. */
     private volatile PeerCodec codec;
+
+    /** Used by the thread that reads the file alone, once this object is made. */
     private long fileModifiedMillis;
 
-    /** Throws IOException, which names the file and line, if it cannot be used. */
+    /**
+     * Reads the keys.
+     *
+     * @throws IOException if the file cannot be used; its message has the file and line
+     */
     public PeerKeys(Path file) throws IOException {
         this.file = file;
         this.codec = read();
@@ -59,8 +68,8 @@
     }
 
     /**
-     * Reads the file again if it has changed, on a thread that may wait; what cannot be used
-     * changes nothing.
+     * Reads the file again if it has changed; one that cannot be used changes nothing. To be called
+     * on a thread that may block.
      */
     void reloadIfChanged() {
         try {
@@ -79,7 +88,7 @@
         }
     }
 
-    /** To be used on one thread. */
+    /** The codec by the present keys; it is to be used on one thread. */
     PeerCodec codec() {
         return codec;
     }
--- a/src/main/java/sprucelanding/runtime/governor/PeerLink.java
+++ b/src/main/java/sprucelanding/runtime/governor/PeerLink.java
@@ -12,16 +12,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import sprucelanding.control.core.SharedGovernorCore;
+import sprucelanding.control.membership.FleetMember;
 import sprucelanding.control.membership.PeerCodec;
 import sprucelanding.runtime.eventloop.EventLoop;
 
 /**
- * Datagrams between governors, signed; and beside the loop, a thread that reads changed keys and
- * keeps the highest epoch.
+ * Signed datagrams between governors, sent and received on the event loop; and beside it a thread,
+ * named "peers-files", which reads changed keys and stores the highest epoch. That thread ends with
+ * {@link #close}.
  */
 final class PeerLink implements SharedGovernorCore.PeerChannel, Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
-    private static final long FILE_CHECK_INTERVAL_MILLIS = 1000; // ms between looks at the files
+    private static final long FILE_CHECK_INTERVAL_MILLIS = 1000;
 
     private final PeerKeys peerKeys;
     private final GenerationFile incarnationFile;
@@ -31,10 +33,21 @@
     private final Thread thread = new Thread(this, "peers-files");
     private long sentPackets;
     private long sentBytes;
+
+    /** Written on the loop, read by the thread beside it. */
     private volatile long latestHighestEpoch;
 
     /**
-     * @param highest epoch heard of, asked on the loop
+     * Begins to receive, and starts the thread.
+     *
+     * @param loop calls the consumers and the supplier
+     * @param localAddress where to receive
+     * @param addressesByGovernor where the other governors receive
+     * @param peerKeys sign and verify datagrams
+     * @param incarnationFile stores the highest epoch
+     * @param onMessage takes each message
+     * @param onRejected takes why a datagram was rejected
+     * @param highestEpoch the highest epoch heard of
      */
     PeerLink(
             EventLoop loop,
@@ -71,19 +84,23 @@
         byte[] packet = peerKeys.codec().encode(message);
         addressesByGovernor.forEach(
                 (id, address) -> {
-                    if (governor < 0 || governor == id) {
-                        try {
-                            channel.send(ByteBuffer.wrap(packet), address);
-                            sentPackets++;
-                            sentBytes += packet.length;
-                        } catch (IOException e) {
-                            LOG.atDebug().setCause(e).log("a packet to a governor is lost");
-                        }
+                    if (governor == FleetMember.ALL_PEERS || governor == id) {
+                        sendPacket(packet, address);
                     }
                 });
     }
 
-    /** Since this was last asked. */
+    private void sendPacket(byte[] packet, InetSocketAddress address) {
+        try {
+            channel.send(ByteBuffer.wrap(packet), address);
+            sentPackets++;
+            sentBytes += packet.length;
+        } catch (IOException e) {
+            LOG.atDebug().setCause(e).log("a packet to a governor is lost");
+        }
+    }
+
+    /** Names and values of what was sent since this was asked last. */
     Object[] takeMetrics() {
         Object[] metrics = {"peerPackets", sentPackets, "peerBytes", sentBytes};
         sentPackets = 0;
@@ -97,20 +114,24 @@
             while (true) {
                 TimeUnit.MILLISECONDS.sleep(FILE_CHECK_INTERVAL_MILLIS);
                 peerKeys.reloadIfChanged();
-                try {
-                    incarnationFile.recordEpoch(latestHighestEpoch);
-                } catch (IOException e) {
-                    LOG.atWarn()
-                            .setMessage("the highest epoch cannot be kept")
-                            .addKeyValue("why", e.toString())
-                            .log();
-                }
+                storeHighestEpoch();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
+    private void storeHighestEpoch() {
+        try {
+            incarnationFile.recordEpoch(latestHighestEpoch);
+        } catch (IOException e) {
+            LOG.atWarn()
+                    .setMessage("the highest epoch cannot be kept")
+                    .addKeyValue("why", e.toString())
+                    .log();
+        }
+    }
+
     void close() {
         thread.interrupt();
     }
--- a/src/main/java/sprucelanding/runtime/governor/PrivateFiles.java
+++ b/src/main/java/sprucelanding/runtime/governor/PrivateFiles.java
@@ -11,14 +11,18 @@
 import java.nio.file.attribute.PosixFilePermissions;
 import java.util.Set;
 
-/** Files that are this governor's own: secrets, and what it writes for its next life. */
+/** Files that only this governor uses: keys, and what it stores for its next start. */
 public final class PrivateFiles {
     private static final Set<PosixFilePermission> NON_OWNER_PERMISSIONS =
             PosixFilePermissions.fromString("---rwxrwx");
 
     private PrivateFiles() {}
 
-    /** Throws IOException if others than its owner may use it. */
+    /**
+     * Checks that only the file's owner may use it.
+     *
+     * @throws IOException if others may, or that cannot be found out
+     */
     public static void requirePrivate(Path file) throws IOException {
         if (Files.getPosixFilePermissions(file).stream()
                 .anyMatch(NON_OWNER_PERMISSIONS::contains)) {
@@ -27,9 +31,10 @@
     }
 
     /**
-     * Renames it into place: cut off at any moment, the file is the old one or the new one.
+     * Writes a new file and renames it into place: after a crash at any time, the file is the old
+     * one or the new one.
      *
-     * @param forced it is on the disk before that
+     * @param synced whether the content is forced to the disk before the rename
      */
     static void replaceAtomically(Path file, byte[] content, boolean synced) throws IOException {
         Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
--- a/src/main/java/sprucelanding/runtime/governor/ProxyIds.java
+++ b/src/main/java/sprucelanding/runtime/governor/ProxyIds.java
@@ -6,9 +6,13 @@
 import java.util.Map;
 
 /**
- * A small number for each proxy's name, the same for as long as this governor lives. Any thread.
+ * A small number for each proxy's name, the same for as long as this process lives. Safe for use by
+ * any thread: the monitor of this object guards its fields.
  */
 final class ProxyIds {
+    /** What stands for a number where there are too many names. */
+    static final int NONE = -1;
+
     private final int maxNames;
     private final Map<String, Integer> idsByName = new HashMap<>();
     private final List<String> namesById = new ArrayList<>();
@@ -17,11 +21,13 @@
         this.maxNames = maxNames;
     }
 
-    /** -1 if there are too many names: a flood of them must not fill the memory. */
+    /**
+     * The name's number; {@link #NONE} past the limit, for a flood of names must not fill memory.
+     */
     synchronized int idOf(String name) {
         Integer knownId = idsByName.get(name);
         if (knownId == null && namesById.size() >= maxNames) {
-            return -1;
+            return NONE;
         }
         if (knownId == null) {
             knownId = namesById.size();
@@ -31,7 +37,7 @@
         return knownId;
     }
 
-    /** Empty if there is none. */
+    /** The name of a number; empty if there is none. */
     synchronized String nameOf(int id) {
         return id >= 0 && id < namesById.size() ? namesById.get(id) : "";
     }
--- a/src/main/java/sprucelanding/runtime/governor/ResourceNaming.java
+++ b/src/main/java/sprucelanding/runtime/governor/ResourceNaming.java
@@ -3,16 +3,17 @@
 import java.util.List;
 import sprucelanding.control.discovery.ListedEndpoint;
 
-/** What a front needs to put a resource into words: names of products, and where a replica is. */
+/** What a front needs to encode a resource. All methods are safe to call from any thread. */
 public interface ResourceNaming {
+    /** Names of the request classes, by position. */
     List<String> requestClassNames();
 
-    /** Null if it was never listed. Safe to call from any thread. */
+    /** The endpoint of an id, as it was listed last; null if it never was. */
     ListedEndpoint endpoint(long id);
 
-    /** The replica listed at that address; 0 if none was. Safe to call from any thread. */
+    /** The id of the endpoint that was listed last at an address; 0 if none was. */
     long endpointIdAt(String host, int port);
 
-    /** Whether what is let in is a rate at each proxy; else it is a share. */
+    /** Whether proxies admit requests up to a rate; else they admit a share of them. */
     boolean admitsByRate();
 }
--- a/src/test/java/sprucelanding/runtime/governor/GovernorPeersTest.java
+++ b/src/test/java/sprucelanding/runtime/governor/GovernorPeersTest.java
@@ -229,6 +229,11 @@
                 });
     }
 
+    private static LeaseRequest competingClaim() {
+        return new LeaseRequest(
+                1, 500, 99, 0, IDLE, List.of(new Claim(Leases.proxyKey("p"), 1_000_000)));
+    }
+
     @Test
     void forgedTruncatedAndOversizePacketsAreIgnored() throws Exception {
         withScriptedGovernor(
@@ -237,31 +242,11 @@
                     try (ScenarioRig.XdsTestClient peer = rig.new XdsTestClient("p")) {
                         peer.acceptAll();
                         Thread.sleep(400);
-                        byte[] validPacket =
-                                other.codec.encode(
-                                        new LeaseRequest(
-                                                1,
-                                                500,
-                                                99,
-                                                0,
-                                                IDLE,
-                                                List.of(
-                                                        new Claim(
-                                                                Leases.proxyKey("p"), 1_000_000))));
+                        byte[] validPacket = other.codec.encode(competingClaim());
                         other.sendPacket(Arrays.copyOf(validPacket, validPacket.length - 1));
                         other.sendPacket(
                                 new PeerCodec(List.of("another key, as long".getBytes()))
-                                        .encode(
-                                                new LeaseRequest(
-                                                        1,
-                                                        500,
-                                                        99,
-                                                        0,
-                                                        IDLE,
-                                                        List.of(
-                                                                new Claim(
-                                                                        Leases.proxyKey("p"),
-                                                                        1_000_000)))));
+                                        .encode(competingClaim()));
                         other.sendPacket(new byte[2000]);
                         other.sendPacket(new byte[0]);
                         assertNull(peer.ended.poll(500, TimeUnit.MILLISECONDS));
