--- a/src/main/java/sprucelanding/control/settings/SettingsReader.java
+++ b/src/main/java/sprucelanding/control/settings/SettingsReader.java
@@ -5,17 +5,15 @@
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
 import com.eclipsesource.json.ParseException;
-
-import sprucelanding.control.decision.AdmissionMode;
-import sprucelanding.control.decision.RequestClass;
-import sprucelanding.control.decision.RoutingController;
-
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 import java.util.OptionalInt;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
+import sprucelanding.control.decision.AdmissionMode;
+import sprucelanding.control.decision.RequestClass;
+import sprucelanding.control.decision.RoutingController;
 
 /**
  * Reads the settings object and creates controllers from it.
--- a/src/main/java/sprucelanding/simulation/simulator/CommandEncoder.java
+++ b/src/main/java/sprucelanding/simulation/simulator/CommandEncoder.java
@@ -1,5 +1,8 @@
 package sprucelanding.simulation.simulator;
 
+import java.math.BigInteger;
+import java.util.Base64;
+import java.util.BitSet;
 import sprucelanding.control.decision.ControllerOutput;
 import sprucelanding.control.decision.DecisionEvent;
 import sprucelanding.control.decision.Endpoint;
@@ -7,10 +10,6 @@
 import sprucelanding.control.decision.RequestClass;
 import sprucelanding.control.settings.DecimalFormatter;
 
-import java.math.BigInteger;
-import java.util.Base64;
-import java.util.BitSet;
-
 /** Writes one instance's orders as commands, a line each, into the reply of all instances. */
 final class CommandEncoder implements ControllerOutput {
     private static final int MAX_PEER_BYTES = 256;
--- a/src/main/java/sprucelanding/simulation/simulator/ControllerInstance.java
+++ b/src/main/java/sprucelanding/simulation/simulator/ControllerInstance.java
@@ -1,14 +1,13 @@
 package sprucelanding.simulation.simulator;
 
+import java.util.Map;
+import java.util.OptionalInt;
 import sprucelanding.control.decision.EndpointState;
 import sprucelanding.control.decision.HealthCheckResult;
 import sprucelanding.control.decision.RoutingController;
 import sprucelanding.control.settings.MalformedInputException;
 import sprucelanding.control.settings.SettingsReader;
 
-import java.util.Map;
-import java.util.OptionalInt;
-
 /**
  * One hosted controller: passes the simulator's events to it and writes its orders as commands.
  *
--- a/src/main/java/sprucelanding/simulation/simulator/SimulatorAdapter.java
+++ b/src/main/java/sprucelanding/simulation/simulator/SimulatorAdapter.java
@@ -1,8 +1,5 @@
 package sprucelanding.simulation.simulator;
 
-import sprucelanding.control.settings.MalformedInputException;
-import sprucelanding.control.settings.SettingsReader;
-
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -13,6 +10,8 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import sprucelanding.control.settings.MalformedInputException;
+import sprucelanding.control.settings.SettingsReader;
 
 /** Hosts controllers for a simulator: reads batches of events and writes one reply to each. */
 public final class SimulatorAdapter {
--- a/src/main/java/sprucelanding/simulation/simulator/SimulatorMessage.java
+++ b/src/main/java/sprucelanding/simulation/simulator/SimulatorMessage.java
@@ -1,8 +1,7 @@
 package sprucelanding.simulation.simulator;
 
-import sprucelanding.control.settings.MalformedInputException;
-
 import java.util.OptionalInt;
+import sprucelanding.control.settings.MalformedInputException;
 
 /**
  * One line of the simulator's protocol. Its fields are read by position: the name of the message is
--- a/src/test/java/sprucelanding/control/settings/SettingsReaderTest.java
+++ b/src/test/java/sprucelanding/control/settings/SettingsReaderTest.java
@@ -5,10 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.List;
 import java.util.OptionalInt;
+import org.junit.jupiter.api.Test;
 
 class SettingsReaderTest {
     private static SettingsReader withReportFields(String fields) {
--- a/src/test/java/sprucelanding/runtime/eventloop/HttpParserTest.java
+++ b/src/test/java/sprucelanding/runtime/eventloop/HttpParserTest.java
@@ -3,13 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import org.junit.jupiter.api.Test;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import org.junit.jupiter.api.Test;
 
 class HttpParserTest {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/src/test/java/sprucelanding/runtime/eventloop/RecordedHttpTest.java
+++ b/src/test/java/sprucelanding/runtime/eventloop/RecordedHttpTest.java
@@ -1,13 +1,11 @@
 package sprucelanding.runtime.eventloop;
 
-import org.junit.jupiter.api.Test;
-
-import sprucelanding.testing.Recording;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import org.junit.jupiter.api.Test;
+import sprucelanding.testing.Recording;
 
 /**
  * Compares HTTP messages and the text form of load reports with a recording, byte for byte. Run
--- a/src/test/java/sprucelanding/runtime/eventloop/TcpConnectionTest.java
+++ b/src/test/java/sprucelanding/runtime/eventloop/TcpConnectionTest.java
@@ -4,8 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.junit.jupiter.api.Test;
-
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetAddress;
@@ -18,6 +16,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
 
 class TcpConnectionTest {
     /** More than the buffers between the two sides take. */
--- a/src/test/java/sprucelanding/simulation/simulator/RecordedAdapterTest.java
+++ b/src/test/java/sprucelanding/simulation/simulator/RecordedAdapterTest.java
@@ -1,14 +1,13 @@
 package sprucelanding.simulation.simulator;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
-
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
 /**
  * Compares the simulator adapter's replies to recorded inputs, byte for byte.
