--- a/src/main/java/sprucelanding/runtime/governor/PeerKeys.java
+++ b/src/main/java/sprucelanding/runtime/governor/PeerKeys.java
@@ -25,7 +25,7 @@
     private volatile PeerCodec codec;
 
     /** Used by the thread that reads the file alone, once this object is made. */
-    private long fileModifiedMillis;
+    private volatile long fileModifiedMillis;
 
     /**
      * Reads the keys.
