--- a/src/main/java/sprucelanding/control/decision/BindScheduler.java
+++ b/src/main/java/sprucelanding/control/decision/BindScheduler.java
@@ -277,20 +277,23 @@
         for (PendingBind bind : urgent) {
             Proxy proxy = bind.proxy();
             double cost =
-                    Sums.of(
-                            tables.full(),
-                            fullTable ->
-                                    proxy.uses(fullTable)
-                                            ? costs.computeIfAbsent(
-                                                    proxy.assignedTable(fullTable),
-                                                    table -> bindCost(proxy, table))
-                                            : 0);
+                    Sums.of(tables.full(), fullTable -> knownBindCost(proxy, fullTable, costs));
             if (cost > lines) {
                 assignStarterTables(proxy, lines);
             }
         }
     }
 
+    /** The cost of binding a proxy to its table; it is worked out once for each table. */
+    private int knownBindCost(
+            Proxy proxy, RoutingTable fullTable, Map<RoutingTable, Integer> costs) {
+        if (!proxy.uses(fullTable)) {
+            return 0;
+        }
+        RoutingTable assigned = proxy.assignedTable(fullTable);
+        return costs.computeIfAbsent(assigned, table -> bindCost(proxy, table));
+    }
+
     /** Puts a proxy on starter tables that cost that many lines at most, or as few as they can. */
     private void assignStarterTables(Proxy proxy, double lines) {
         int size = starterTableSize(lines);
--- a/src/main/java/sprucelanding/control/delivery/ProxyStream.java
+++ b/src/main/java/sprucelanding/control/delivery/ProxyStream.java
@@ -214,7 +214,7 @@
 
     /** An answer arrived: the proxy is no longer behind if it was the last one due. */
     void answered() {
-        behind &= !unanswered.isEmpty();
+        behind = behind && !unanswered.isEmpty();
     }
 
     int maxNamesPerUpdate() {
