--- a/src/test/java/sprucelanding/runtime/governor/SharedStructuresTest.java
+++ b/src/test/java/sprucelanding/runtime/governor/SharedStructuresTest.java
@@ -2,6 +2,7 @@
 
 import org.jetbrains.lincheck.datastructures.ModelCheckingOptions;
 import org.jetbrains.lincheck.datastructures.Operation;
+import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import sprucelanding.control.delivery.ProxyStream;
 import sprucelanding.runtime.eventloop.Mailbox;
@@ -11,6 +12,15 @@
  * tried.
  */
 class SharedStructuresTest {
+    /**
+     * Lincheck's agent uses this class while it decides whether a class is instrumented. If it is
+     * not loaded by then, its own loading asks the agent again: ClassCircularityError.
+     */
+    @BeforeAll
+    static void loadWhatTheAgentUses() throws ClassNotFoundException {
+        Class.forName("kotlin.text.StringsKt");
+    }
+
     private static ModelCheckingOptions checkingOptions() {
         return new ModelCheckingOptions()
                 .iterations(6)
